--- a/packages/schema/src/lib/configuration/configuration.ts
+++ b/packages/schema/src/lib/configuration/configuration.ts
@@ -5,17 +5,17 @@
   .regex(/^[a-z0-9][a-z0-9-]{0,62}$/, 'lower case letters, digits, hyphens');
 const portSchema = z.number().int().min(1).max(65_535);
 
-/** One database of an upstream group. @public */
+/** A database of an upstream group. @public */
 export const databaseSchema = z.strictObject({
   name: nameSchema,
   host: z.string().min(1),
   port: portSchema,
   dataCentre: nameSchema,
-  /** Connections that the database accepts in all, from every instance together. */
+  /** Connections that the database accepts from all instances together. */
   connectionLimit: z.number().int().min(1).max(100_000),
-  /** Statements that the database runs at the same time. */
+  /** Statements that the database runs in parallel. */
   slots: z.number().int().min(1).max(10_000),
-  /** A leaving database receives no new work. */
+  /** A leaving database receives no new statements. */
   leaving: z.boolean().default(false),
 });
 
@@ -25,7 +25,7 @@
 /** An upstream database group: one primary and its replicas. @public */
 export const upstreamGroupSchema = z.strictObject({
   databases: z.array(databaseSchema).min(1).max(9),
-  /** Account that the proxies use at the databases of the group. */
+  /** Account that instances use to connect to the databases of the group. */
   user: z.string().min(1),
   password: z.string(),
 });
@@ -33,14 +33,14 @@
 /** @public */
 export type UpstreamGroup = z.infer<typeof upstreamGroupSchema>;
 
-/** Who may connect, and to which groups. @public */
+/** Credentials of a caller, and the groups that it may use. @public */
 export const callerSchema = z.strictObject({
-  /** Hexadecimal SHA-1 of the SHA-1 of the password, as `mysql_native_password` stores it. */
+  /** SHA-1 of the SHA-1 of the password, hexadecimal, as stored by `mysql_native_password`. */
   passwordHash: z.string().regex(/^[0-9a-f]{40}$/, '40 lower case hexadecimal digits'),
   groups: z.array(nameSchema).min(1),
-  /** Connections of this caller that one instance accepts at the same time. */
+  /** Maximum concurrent connections of this caller per instance. */
   connectionLimit: z.number().int().min(1).max(1_000_000).default(1_000),
-  /** Share of a full queue relative to the other callers. */
+  /** Weight relative to other callers when a queue is full. */
   weight: z.number().int().min(1).max(100).default(1),
 });
 
@@ -49,11 +49,11 @@
 
 /** How requests of one kind are served. @public */
 export const requestKindSchema = z.strictObject({
-  /** Accepted age of the data in milliseconds; 0 asks for read-your-writes. */
+  /** Maximum age of the data that is read; 0 gives read-your-writes consistency. */
   maximumStalenessMilliseconds: z.number().int().min(0).max(86_400_000).default(0),
-  /** Time from arrival within which the request is answered. */
+  /** Time from arrival within which the request must be answered. */
   deadlineMilliseconds: z.number().int().min(1).max(600_000).default(5_000),
-  /** Higher goes first when a queue is full. */
+  /** Requests with a higher priority are served first when a queue is full. */
   priority: z.number().int().min(0).max(9).default(5),
   /** A request that is not repeatable is sent to a database at most once. */
   isRepeatable: z.boolean().default(true),
@@ -62,25 +62,25 @@
 /** @public */
 export type RequestKind = z.infer<typeof requestKindSchema>;
 
-/** A promise on the share of good requests that the burn report measures. @public */
+/** A service level objective that the burn report measures. @public */
 export const serviceLevelSchema = z.strictObject({
   name: nameSchema,
   group: nameSchema,
   kind: nameSchema,
-  /** Share of requests that must be good, for example 0.999. */
+  /** Fraction of requests that must be good, for example 0.999. */
   objective: z.number().min(0.5).max(0.999_999),
-  /** A request is good when it is answered without an error of the system within this time. */
+  /** A request is good if it is answered within this time and without an error of the system. */
   latencyMilliseconds: z.number().int().min(1).max(600_000),
 });
 
 /** @public */
 export type ServiceLevel = z.infer<typeof serviceLevelSchema>;
 
-/** The kind of a request that names none. @public */
+/** Kind of a request that does not specify one. @public */
 export const DEFAULT_KIND = 'default';
 
 /**
- * The shared configuration, whole: groups, callers, kinds of request and service levels.
+ * The complete shared configuration.
  *
  * @public
  */
@@ -102,14 +102,14 @@
 
 type ReportFault = (path: (string | number)[], message: string) => void;
 
-interface References {
+interface ConfigurationReferences {
   groups: Record<string, UpstreamGroup>;
   callers: Record<string, Caller>;
   kinds: Record<string, RequestKind>;
   serviceLevels: ServiceLevel[];
 }
 
-function checkReferences(configuration: References, reportFault: ReportFault): void {
+function checkReferences(configuration: ConfigurationReferences, reportFault: ReportFault): void {
   Object.entries(configuration.groups).forEach(([group, { databases }]) => {
     checkDatabaseNames(group, databases, reportFault);
   });
--- a/packages/schema/src/lib/configuration/configurationObject.ts
+++ b/packages/schema/src/lib/configuration/configurationObject.ts
@@ -1,19 +1,24 @@
 import { z } from 'zod';
 import { configurationSchema } from './configuration';
 
-/** Kind and name of the platform object that holds the shared configuration. @public */
+/** Kind and name of the platform object that stores the shared configuration. @public */
 export const CONFIGURATION_OBJECT = { kind: 'configuration', name: 'wisterialift' } as const;
 
-/** Accepted patches that the object remembers, so that a lost answer can be settled. @public */
+/**
+ * Number of accepted patches kept in the object, so that a client that lost the answer to its patch
+ * can look it up.
+ *
+ * @public
+ */
 export const REMEMBERED_PATCHES = 256;
 
-/** One accepted patch. @public */
+/** Record of an accepted patch. @public */
 export const acceptedPatchSchema = z.strictObject({
   patchId: z.string().min(1).max(128),
-  /** Configuration number that the patch brought into force. */
+  /** Number of the configuration that the patch created. */
   number: z.number().int().positive(),
   author: z.string(),
-  /** ISO 8601 time at the instance that submitted the patch; for people only. */
+  /** ISO 8601 time on the instance that submitted the patch; informational only. */
   acceptedAt: z.string(),
 });
 
@@ -21,14 +26,14 @@
 export type AcceptedPatch = z.infer<typeof acceptedPatchSchema>;
 
 /**
- * The numbered configuration as the platform keeps it. Numbers rise by one with each accepted patch.
+ * The numbered configuration as stored on the platform; each accepted patch increments the number.
  *
  * @public
  */
 export const configurationObjectSchema = z.strictObject({
   number: z.number().int().nonnegative(),
   configuration: configurationSchema,
-  /** Newest last, at most {@link REMEMBERED_PATCHES}. */
+  /** Oldest first, at most {@link REMEMBERED_PATCHES}. */
   patches: z.array(acceptedPatchSchema),
 });
 
@@ -36,16 +41,16 @@
 export type ConfigurationObject = z.infer<typeof configurationObjectSchema>;
 
 /**
- * What an operator submits: an RFC 7396 merge patch against a numbered configuration.
+ * A configuration change submitted by an operator.
  *
  * @public
  */
 export const configurationPatchSchema = z.strictObject({
   patchId: z.string().min(1).max(128),
-  /** Number of the configuration that the patch was made against. */
+  /** Number of the configuration that the patch is based on. */
   againstNumber: z.number().int().nonnegative(),
   author: z.string().min(1).max(128),
-  /** JSON merge patch (RFC 7396) on the configuration. */
+  /** JSON merge patch (RFC 7396) to apply to the configuration. */
   changes: z.record(z.string(), z.unknown()),
 });
 
--- a/packages/schema/src/lib/group/memberStatus.ts
+++ b/packages/schema/src/lib/group/memberStatus.ts
@@ -1,7 +1,11 @@
 import { z } from 'zod';
 import { positionSchema } from '../position/position';
 
-/** Where a term began: `start` is the index of the last entry before the first one of the term. @public */
+/**
+ * Start of a term: `start` is the index of the last entry before the first entry of the term.
+ *
+ * @public
+ */
 export const termStartSchema = z.strictObject({
   term: z.number().int().nonnegative(),
   start: z.number().int().nonnegative(),
@@ -17,10 +21,10 @@
 export type MemberRole = z.infer<typeof memberRoleSchema>;
 
 /**
- * What a database of a group answers when it is asked for its status.
+ * Answer of a database to a status request.
  *
- * A member that has recorded `currentTerm` refuses log and writes of every lower term from then on.
- * `logEnd` is the last entry that the member holds, `applied` the last one that its reads show.
+ * A member at `currentTerm` refuses log entries and writes of lower terms. `logEnd` is the last
+ * entry in its log, `applied` the last one that its reads show.
  *
  * @public
  */
@@ -30,9 +34,9 @@
   currentTerm: z.number().int().nonnegative(),
   logEnd: positionSchema,
   applied: positionSchema,
-  /** In rising order of terms; entry `index` belongs to the last term whose start is below it. */
+  /** In ascending order of terms; entry `index` belongs to the last term that starts below it. */
   termStarts: z.array(termStartSchema),
-  /** Name of the member whose log this one follows; absent on a primary or an unattached member. */
+  /** Member that this one replicates from; absent on a primary or an unattached member. */
   following: z.string().optional(),
 });
 
--- a/packages/schema/src/lib/instance/instance.ts
+++ b/packages/schema/src/lib/instance/instance.ts
@@ -4,7 +4,7 @@
 export const instanceStateSchema = z.enum(['live', 'leaving']);
 
 /**
- * An entry of the platform's lagging list of instances.
+ * An entry of the platform's list of instances, which may be outdated.
  *
  * @public
  */
--- a/packages/schema/src/lib/position/position.ts
+++ b/packages/schema/src/lib/position/position.ts
@@ -1,9 +1,7 @@
 import { z } from 'zod';
 
 /**
- * A place in the log of a group: the term of the primary that wrote the entry, and its index.
- *
- * Index 0 of term 0 stands before the first entry.
+ * A position in the log of a group: the term of the primary that wrote the entry, and its index.
  *
  * @public
  */
@@ -15,14 +13,14 @@
 /** @public */
 export type Position = z.infer<typeof positionSchema>;
 
-/** The position before the first entry of every log. @public */
+/** The position before the first entry of a log. @public */
 export const ORIGIN: Position = { term: 0, index: 0 };
 
 /**
  * Orders positions by term, then by index.
  *
- * The order says which of two log ends is further. It does not say that a log which ends at the
- * higher one contains the lower: an entry of a former term may have been discarded by a later one.
+ * A log that ends at a higher position does not necessarily contain a lower one, since entries of
+ * an earlier term may have been discarded.
  *
  * @returns a negative number, zero or a positive number, as `Array.prototype.sort` expects.
  * @public
@@ -32,7 +30,7 @@
   return left.index - right.index;
 }
 
-/** Whether `position` is the same as or behind `other`. @public */
+/** Whether `position` is equal to or lower than `other`. @public */
 export function isAtMost(position: Position, other: Position): boolean {
   return comparePositions(position, other) <= 0;
 }
@@ -42,15 +40,15 @@
   return comparePositions(left, right) >= 0 ? left : right;
 }
 
-/** Writes a position as `term:index`, the form of the databases' session tracking. @public */
+/** Formats a position as `term:index`, as in the databases' session tracking. @public */
 export function formatPosition(position: Position): string {
   return `${position.term}:${position.index}`;
 }
 
 /**
- * Reads `term:index`.
+ * Parses `term:index`.
  *
- * @returns the position, or undefined where the text is not one.
+ * @returns undefined if the text is not a position.
  * @public
  */
 export function parsePosition(text: string): Position | undefined {
--- a/packages/schema/src/lib/request/outcome.ts
+++ b/packages/schema/src/lib/request/outcome.ts
@@ -15,7 +15,7 @@
 /** @public */
 export type NotRunReason = z.infer<typeof notRunReasonSchema>;
 
-/** Why the outcome of a request is not known. @public */
+/** Why the outcome of a request is unknown. @public */
 export const unknownReasonSchema = z.enum([
   'connectionLost',
   'deadline',
@@ -27,13 +27,13 @@
 export type UnknownReason = z.infer<typeof unknownReasonSchema>;
 
 /**
- * What a caller is told about a request.
+ * Outcome of a request, as reported to the caller.
  *
- * - `done`: the database's own answer, whole; also its own errors such as a duplicate key.
- * - `notRun`: no database ran it. The caller may repeat it after `retryAfterMilliseconds`.
- * - `unknown`: it may or may not have run. It never means "not run".
- * - `discarded`: it ran on a primary that was replaced and is certain not to have survived, or a
- *   read whose answer broke off; nothing of it remains.
+ * - `done`: the database answered completely, possibly with an error such as a duplicate key.
+ * - `notRun`: no database ran it. The caller may retry after `retryAfterMilliseconds`.
+ * - `unknown`: it may or may not have run.
+ * - `discarded`: it has no lasting effect: a write lost with a replaced primary, or a read whose
+ *   answer was incomplete.
  *
  * @public
  */
--- a/packages/schema/src/lib/settings/parseSettings.ts
+++ b/packages/schema/src/lib/settings/parseSettings.ts
@@ -3,14 +3,14 @@
 import { settingsSchema } from './settings';
 import type { Settings } from './settings';
 
-/** One fault of a settings file: where it is and what would be accepted. @public */
+/** An invalid entry of a settings file. @public */
 export interface SettingsFault {
-  /** Dotted path of the key; empty where the file as a whole is at fault. */
+  /** Dotted path of the key; empty if the file as a whole is invalid. */
   key: string;
   reason: string;
 }
 
-/** Thrown for a settings file that cannot be used; lists every fault. @public */
+/** Thrown for an invalid settings file; lists every fault. @public */
 export class SettingsError extends Error {
   readonly file: string;
 
@@ -25,11 +25,11 @@
 }
 
 /**
- * Parses and checks the text of a settings file.
+ * Parses and validates the text of a settings file.
  *
- * @param options.file - name for messages; nothing is read here.
+ * @param options.file - file name for messages; the file is not read.
  * @param options.text - content in TOML.
- * @throws SettingsError with every fault that was found.
+ * @throws SettingsError with every fault found.
  * @public
  */
 export function parseSettings(options: { file: string; text: string }): Settings {
@@ -49,7 +49,7 @@
   }
 }
 
-/** Turns one issue of the validator into faults, one for each unknown key. */
+/** Converts a validation issue to faults, one for each unknown key. */
 function describeIssue(issue: z.core.$ZodIssue): SettingsFault[] {
   const path = issue.path.join('.');
   if (issue.code === 'unrecognized_keys') {
--- a/packages/schema/src/test/parseSettings.test.ts
+++ b/packages/schema/src/test/parseSettings.test.ts
@@ -17,8 +17,8 @@
 address = "http://127.0.0.1:7000"
 `;
 
-/** Parses the text and returns each fault as "key: reason". */
-function faultsOf(text: string): string[] {
+/** Parses the text and returns each fault as `key: reason`. */
+function listFaults(text: string): string[] {
   try {
     parseSettings({ file: 'proxy.toml', text });
     return [];
@@ -42,10 +42,10 @@
 [log]
 level = "loud"
 `;
-    expect(faultsOf(text)).toMatchSnapshot();
+    expect(listFaults(text)).toMatchSnapshot();
   });
 
-  it('names line and column of text that is not TOML', () => {
-    expect(faultsOf('[instance\nname = 1')).toMatchSnapshot();
+  it('reports line and column of invalid TOML', () => {
+    expect(listFaults('[instance\nname = 1')).toMatchSnapshot();
   });
 });
