--- a/packages/pooling/src/index.ts
+++ b/packages/pooling/src/index.ts
@@ -6,14 +6,14 @@
   type UpstreamAnswer,
   type UpstreamCommand,
 } from './lib/statements/upstreamCommand';
-export { type FloorSample } from './lib/evidence/floorSamples';
+export { type PositionSample } from './lib/replication/positionHistory';
 export {
   createGroupEvidence,
-  type EvidenceVerdict,
+  type ConfirmationResult,
   type EvidenceWait,
   type GroupEvidence,
   type Observation,
-} from './lib/evidence/groupEvidence';
+} from './lib/replication/replicationTracker';
 export {
   applyPreparation,
   countDifferences,
@@ -24,18 +24,22 @@
   type ConnectionState,
   type PreparedStatement,
   type SessionState,
-} from './lib/session/pooledSession';
+} from './lib/session/sessionState';
 export { LONG_AGO, longestAge, type ClockReadings } from './lib/timing/clockReadings';
-export { remainingUse } from './lib/placing/remainingUse';
-export { createReplicaLag, type ReplicaLag, type RequiredLog } from './lib/placing/replicaLag';
-export { comeBackTime } from './lib/placing/comeBackTime';
-export { longestWait } from './lib/placing/longestWait';
-export { chooseNextStatement, type QueuedStatement } from './lib/placing/chooseNextStatement';
-export { createLatencyEstimate, type LatencyEstimate } from './lib/placing/latencyEstimate';
-export { planHolders, type HolderCandidate, type HolderPlan } from './lib/placing/planHolders';
-export { orderMembersForRead, type MemberLoad } from './lib/placing/chooseMember';
-export { chooseCandidate, type StoppedReplica } from './lib/promotion/chooseCandidate';
-export { settleWrite, type TermOrigin, type WriteFate } from './lib/promotion/settleWrite';
+export { remainingUse } from './lib/routing/remainingAdmissionTime';
+export { createReplicaLag, type ReplicaLag, type RequiredLog } from './lib/routing/replicaLag';
+export { comeBackTime } from './lib/routing/retryDelay';
+export { longestWait } from './lib/routing/queueWaitLimit';
+export { chooseNextStatement, type QueuedStatement } from './lib/routing/chooseNextStatement';
+export { createLatencyEstimate, type LatencyEstimate } from './lib/routing/latencyEstimate';
+export {
+  planHolders,
+  type HolderCandidate,
+  type HolderPlan,
+} from './lib/routing/connectionHolders';
+export { orderMembersForRead, type MemberLoad } from './lib/routing/orderMembersForRead';
+export { chooseCandidate, type StoppedReplica } from './lib/promotion/promotionCandidate';
+export { settleWrite, type TermOrigin, type WriteFate } from './lib/promotion/writeOutcome';
 export {
   CLAIM_TAKEOVER_MILLISECONDS,
   CLAIM_VALID_MILLISECONDS,
--- /dev/null
+++ b/packages/pooling/src/lib/promotion/promotionCandidate.ts
@@ -0,0 +1,34 @@
+import { comparePositions } from '@wisterialift/schema';
+import type { Position } from '@wisterialift/schema';
+
+/** A replica that was paused for a promotion and then reported its log end. @public */
+export interface StoppedReplica {
+  memberId: string;
+  received: Position;
+  isLeaving: boolean;
+  /** Whether it is in the preferred data centre; breaks ties only. */
+  isPreferred: boolean;
+}
+
+/**
+ * Chooses the replica with the highest log end, which includes every acknowledged write.
+ *
+ * A leaving replica is never promoted. If it alone has the highest log end, no replica is, since
+ * the others may lack a write that it confirmed.
+ *
+ * @returns undefined if no replica can be promoted now.
+ * @public
+ */
+export function chooseCandidate(replicas: StoppedReplica[]): StoppedReplica | undefined {
+  const mostAdvanced = findMostAdvanced(replicas);
+  if (!mostAdvanced) return undefined;
+  const eligible = replicas.filter(
+    ({ isLeaving, received }) =>
+      !isLeaving && comparePositions(received, mostAdvanced.received) === 0,
+  );
+  return eligible.find(({ isPreferred }) => isPreferred) ?? eligible[0];
+}
+
+function findMostAdvanced(replicas: StoppedReplica[]): StoppedReplica | undefined {
+  return [...replicas].sort((left, right) => comparePositions(right.received, left.received))[0];
+}
--- a/packages/pooling/src/lib/promotion/promotionClaim.ts
+++ b/packages/pooling/src/lib/promotion/promotionClaim.ts
@@ -1,15 +1,15 @@
 import { z } from 'zod';
 import type { ClockReadings } from '../timing/clockReadings';
 
-/** Stored for each group: who may order a promotion, and what the last one did. @public */
+/** Stored for each group: which instance may promote a member, and the last promotion. @public */
 export const promotionRecordSchema = z.object({
-  /** Instance that claimed the duty last. */
+  /** Instance that made the last claim. */
   holder: z.string(),
-  /** Rises with each claim. */
+  /** Fencing token, incremented by each claim. */
   token: z.number().int().nonnegative(),
-  /** Whether the holder may still send orders under the token. */
+  /** Whether the holder may still send orders with the token. */
   isClaimed: z.boolean(),
-  /** Where the term began that the last promotion started, once it is known. */
+  /** First term of the last promotion and the log end that it started from, once known. */
   started: z
     .object({
       term: z.number().int(),
@@ -23,31 +23,34 @@
 export type PromotionRecord = z.infer<typeof promotionRecordSchema>;
 
 /**
- * How long a claim allows its holder to send orders, counted from before the claim was sent.
- * Stopping two replicas and the order itself take four round trips of up to 100 ms with losses.
+ * Time for which a claim allows its holder to send orders, from before the claim was requested.
+ * Covers stopping two replicas and promoting one: four round trips of 100 ms, with retransmissions.
+ *
+ * @public
  */
 export const CLAIM_VALID_MILLISECONDS = 1_500;
 
 /**
- * How long another instance must have seen a claim unchanged before it takes over: the time of the
- * claim, the time limit of an order already sent (400 ms), and a margin for clocks of different pace.
+ * Time after which another instance may take over an unchanged claim: its validity, the timeout of
+ * an order in flight (400 ms) and a margin for clock drift.
+ *
+ * @public
  */
 export const CLAIM_TAKEOVER_MILLISECONDS = 2_200;
 
-/** Difference of the two clocks from which the process is taken to have been suspended. */
-const SUSPENSION_MILLISECONDS = 100;
+/** Difference between the two clocks above which the process counts as suspended. */
+const SUSPENSION_THRESHOLD_MILLISECONDS = 100;
 
 /**
- * Whether a claim still allows an order.
+ * Whether a claim still allows its holder to send orders.
  *
- * A holder that was suspended finds its steady clock where it was, while another instance has taken
- * over; its order would carry a token lower than one already used. The time of day goes on during a
- * suspension, so the two clocks then disagree, and the claim counts as lost.
+ * The monotonic clock stops while the process is suspended and the wall clock does not. If the two
+ * disagree, another instance may have taken over, so the claim counts as expired.
  *
  * @public
  */
 export function isClaimValid(claimed: ClockReadings, present: ClockReadings): boolean {
   const elapsed = present.steady - claimed.steady;
-  const drift = Math.abs(present.wall - claimed.wall - elapsed);
-  return elapsed < CLAIM_VALID_MILLISECONDS && drift < SUSPENSION_MILLISECONDS;
+  const clockDivergence = Math.abs(present.wall - claimed.wall - elapsed);
+  return elapsed < CLAIM_VALID_MILLISECONDS && clockDivergence < SUSPENSION_THRESHOLD_MILLISECONDS;
 }
--- a/packages/pooling/src/lib/promotion/settleWrite.ts
+++ b/packages/pooling/src/lib/promotion/writeOutcome.ts
@@ -1,19 +1,19 @@
 import type { Position } from '@wisterialift/schema';
 
-/** Where a term began: the log end of the member that was promoted. @public */
+/** Log end of the promoted member, from which a term started. @public */
 export interface TermOrigin {
   term: number;
   origin: Position;
 }
 
-/** What became of a write that was held when its primary was replaced. @public */
+/** Outcome of a write that was in progress when its primary was replaced. @public */
 export type WriteFate = 'kept' | 'discarded' | 'unknown';
 
 /**
- * Settles a write of a replaced primary by where the next term began.
+ * Determines the outcome of a write from the log end that the next term started from.
  *
- * Only the term right after the write's own decides: a later one may have started from a log in
- * which that term's end lies elsewhere.
+ * Only the term that directly follows the write's is conclusive, since a later one may have started
+ * from a different log.
  *
  * @public
  */
--- /dev/null
+++ b/packages/pooling/src/lib/replication/positionHistory.ts
@@ -0,0 +1,47 @@
+import type { Position } from '@wisterialift/schema';
+
+/** The end of the primary's log, and when it was requested. */
+export interface PositionSample {
+  /** When the request was sent, in milliseconds of the monotonic clock. */
+  askedAt: number;
+  term: number;
+  position: Position;
+}
+
+/** Recent log ends of the primary, which bounded-staleness reads are checked against. */
+export interface PositionHistory {
+  add: (sample: PositionSample) => void;
+  /** Oldest sample of `term` requested at or after `since`, or undefined. */
+  findOldest: (options: { since: number; term: number }) => PositionSample | undefined;
+  /** When the primary was first seen beyond `position`, or undefined if it was not. */
+  findTimeBeyond: (position: Position) => number | undefined;
+  clear: () => void;
+}
+
+/** Samples taken within this interval of the previous one are dropped. */
+const SAMPLE_INTERVAL_MILLISECONDS = 20;
+
+/** Covers 8 s at the interval above, longer than the staleness that callers accept. */
+const MAXIMUM_SAMPLES = 400;
+
+export function createPositionHistory(): PositionHistory {
+  let samples: PositionSample[] = [];
+
+  return {
+    add: ({ askedAt, term, position }) => {
+      const last = samples.at(-1);
+      if (last && last.term > term) return;
+      if (last?.term === term && askedAt < last.askedAt + SAMPLE_INTERVAL_MILLISECONDS) return;
+      if (last && last.term < term) samples = [];
+      samples.push({ askedAt, term, position });
+      if (samples.length > MAXIMUM_SAMPLES) samples.shift();
+    },
+    findOldest: ({ since, term }) =>
+      samples.find((sample) => sample.askedAt >= since && sample.term === term),
+    findTimeBeyond: ({ term, index }) =>
+      samples.find((sample) => sample.term === term && sample.position.index > index)?.askedAt,
+    clear: () => {
+      samples = [];
+    },
+  };
+}
--- a/packages/pooling/src/lib/placing/chooseNextStatement.ts
+++ b/packages/pooling/src/lib/routing/chooseNextStatement.ts
@@ -1,22 +1,23 @@
-/** A statement that waits for its turn at a member. @public */
+/** A statement queued for a member. @public */
 export interface QueuedStatement {
-  /** 0 goes first. */
+  /** 0 is the highest priority. */
   priority: number;
+  /** Milliseconds of the monotonic clock. */
   arrivedAt: number;
 }
 
-/** Chooses the statement that runs next: the highest priority, of these the one that came first. @public */
+/** Chooses the statement with the highest priority, and among equals the oldest. @public */
 export function chooseNextStatement<Statement extends QueuedStatement>(
   waiting: readonly Statement[],
 ): Statement | undefined {
   let best: Statement | undefined;
   for (const statement of waiting) {
-    if (!best || goesBefore(statement, best)) best = statement;
+    if (!best || isOrderedBefore(statement, best)) best = statement;
   }
   return best;
 }
 
-function goesBefore(left: QueuedStatement, right: QueuedStatement): boolean {
+function isOrderedBefore(left: QueuedStatement, right: QueuedStatement): boolean {
   if (left.priority !== right.priority) return left.priority < right.priority;
   return left.arrivedAt < right.arrivedAt;
 }
--- /dev/null
+++ b/packages/pooling/src/lib/routing/orderMembersForRead.ts
@@ -0,0 +1,49 @@
+/** Load and latency of a member, for routing a read. @public */
+export interface MemberLoad {
+  memberId: string;
+  /** Expected latency of an answer, in milliseconds. */
+  latency: number;
+  /** Statements of this instance that are running on the member or queued for it. */
+  load: number;
+  /** Statements of this instance that the member can run in parallel. */
+  capacity: number;
+  /** Milliseconds until a connection is available. */
+  delay: number;
+  /** Milliseconds until the member has applied the position that the read requires. */
+  wait: number;
+  /** Whether some statements can run only on this member, such as writes on the primary. */
+  isReserved: boolean;
+}
+
+/**
+ * Statements of this instance that add one latency to the estimate, given enough connections. Kept
+ * low: the load of other instances shows only in the latency.
+ */
+const STATEMENTS_PER_LATENCY = 2;
+
+/**
+ * A read goes to the primary only if all replicas would take longer by this factor, since writes
+ * can go nowhere else.
+ */
+const RESERVED_TIME_FACTOR = 2;
+
+/**
+ * Orders members by the time at which they are expected to answer a read, fastest first.
+ *
+ * @public
+ */
+export function orderMembersForRead<Member extends MemberLoad>(members: Member[]): Member[] {
+  return [...members].sort((left, right) => estimateAnswerTime(left) - estimateAnswerTime(right));
+}
+
+/**
+ * Expected time until a read is answered, in milliseconds.
+ *
+ * Capacity limits the estimate: an instance with one connection runs its statements one at a time.
+ */
+function estimateAnswerTime(member: MemberLoad): number {
+  const { latency, load, capacity, delay, wait, isReserved } = member;
+  const queuedLatencies = load / Math.max(1, Math.min(STATEMENTS_PER_LATENCY, capacity));
+  const time = latency * (1 + queuedLatencies) + delay + wait;
+  return isReserved ? time * RESERVED_TIME_FACTOR : time;
+}
--- /dev/null
+++ b/packages/pooling/src/lib/routing/queueWaitLimit.ts
@@ -0,0 +1,30 @@
+/** A queue that has not been empty for longer than this is treated as overloaded. */
+const MAXIMUM_BURST_MILLISECONDS = 1_000;
+
+/** Fraction of the latency goal that a statement may spend queued during an overload. */
+const OVERLOAD_WAIT_FRACTION = 0.25;
+
+/**
+ * Maximum time that a statement may be queued before it is refused, in milliseconds.
+ *
+ * After a burst the queue drains and every statement is served. In an overload a long queue only
+ * delays every statement without increasing throughput.
+ *
+ * @public
+ */
+export function longestWait({
+  goal,
+  timeLeft,
+  queuedFor,
+}: {
+  /** Latency goal of the route, in milliseconds. */
+  goal: number;
+  /** Milliseconds until the caller stops waiting for the answer. */
+  timeLeft: number;
+  /** Milliseconds since the queue was last empty. */
+  queuedFor: number;
+}): number {
+  return queuedFor < MAXIMUM_BURST_MILLISECONDS
+    ? timeLeft
+    : Math.min(timeLeft, goal * OVERLOAD_WAIT_FRACTION);
+}
--- /dev/null
+++ b/packages/pooling/src/lib/routing/replicaLag.ts
@@ -0,0 +1,61 @@
+import { isAtMost } from '@wisterialift/schema';
+import type { Position } from '@wisterialift/schema';
+
+/** Position that a read requires, and when the primary was observed there. @public */
+export interface RequiredLog {
+  position: Position;
+  seenAt: number;
+}
+
+/** Estimated replication lag of one replica. @public */
+export interface ReplicaLag {
+  /** Records an applied position and its lag behind the primary, in milliseconds. */
+  observe: (seen: { applied: Position; lag: number; now: number }) => void;
+  /** Milliseconds until the replica is expected to have applied `required`. */
+  timeUntilApplied: (required: RequiredLog | undefined, now: number) => number;
+  /** Whether the estimate has expired and no probe is in flight. */
+  mayBeTried: (now: number) => boolean;
+  beginTrial: () => void;
+  endTrial: () => void;
+  /** Last observed lag and its age in milliseconds, for log output. */
+  describe: (now: number) => { lag: number; age: number | undefined };
+}
+
+/** Time after which a lag estimate expires, in milliseconds. */
+const ESTIMATE_VALID_MILLISECONDS = 400;
+
+/**
+ * Tracks the replication lag of a replica.
+ *
+ * A lagging replica receives no reads, so its estimate would never be updated. One read at a time
+ * therefore probes an expired estimate; the replica checks the position itself, so a probe never
+ * returns outdated data.
+ *
+ * @public
+ */
+export function createReplicaLag(): ReplicaLag {
+  let applied: Position | undefined;
+  let lag = 0;
+  let seenAt: number | undefined;
+  let isProbeInFlight = false;
+
+  return {
+    observe: (seen) => {
+      ({ applied, lag } = seen);
+      seenAt = seen.now;
+    },
+    timeUntilApplied: (required, now) => {
+      if (!required || !applied || isAtMost(required.position, applied)) return 0;
+      return Math.max(0, required.seenAt + lag - now);
+    },
+    mayBeTried: (now) =>
+      !isProbeInFlight && seenAt !== undefined && now - seenAt > ESTIMATE_VALID_MILLISECONDS,
+    beginTrial: () => {
+      isProbeInFlight = true;
+    },
+    endTrial: () => {
+      isProbeInFlight = false;
+    },
+    describe: (now) => ({ lag, age: seenAt === undefined ? undefined : now - seenAt }),
+  };
+}
--- a/packages/pooling/src/lib/session/pooledSession.ts
+++ b/packages/pooling/src/lib/session/sessionState.ts
@@ -7,21 +7,25 @@
   shape: string;
 }
 
-/** What a caller set for its session; it holds whichever connection a statement runs on. @public */
+/**
+ * Variables and prepared statements of a caller's session, whichever connection serves it.
+ *
+ * @public
+ */
 export interface SessionState {
   values: Map<string, string>;
   prepared: Map<string, PreparedStatement>;
 }
 
-/** What was set on one connection. @public */
+/** Variables and prepared statements that are set on one connection. @public */
 export interface ConnectionState {
   values: Map<string, string>;
-  /** Names of the statements prepared there. */
+  /** Names of the statements prepared on the connection. */
   prepared: Set<string>;
 }
 
-/** Statements that a connection keeps prepared before it is reset; bounds the database's memory. */
-const PREPARED_LIMIT = 200;
+/** A connection with more prepared statements is reset, to bound the memory of the database. */
+const MAXIMUM_PREPARED_STATEMENTS = 200;
 
 /** @public */
 export function createSessionState(): SessionState {
@@ -33,15 +37,15 @@
   return { values: new Map(), prepared: new Set() };
 }
 
-/** Name of a prepared statement on a connection, the same for all sessions with that shape. @public */
+/** Name of a prepared statement on a connection; sessions with the same shape share it. @public */
 export function sharedStatementName({ access, shape }: PreparedStatement): string {
   return `${access === 'read' ? 'r' : 'w'}_${shape}`;
 }
 
 /**
- * The commands that give a connection the state which a statement of the session needs.
+ * Commands that bring a connection into the state that a statement of the session needs.
  *
- * A value that the session does not have can only be removed by a reset of everything.
+ * A variable that the session has not set can only be removed by resetting the connection.
  *
  * @public
  */
@@ -51,20 +55,20 @@
   statement?: PreparedStatement;
 }): UpstreamCommand[] {
   const { session, connection, statement } = options;
-  const needsReset =
-    hasForeignValue(session, connection) || connection.prepared.size > PREPARED_LIMIT;
-  const present = needsReset ? createConnectionState() : connection;
-  const commands: UpstreamCommand[] = needsReset ? [{ type: 'reset' }] : [];
+  const isResetRequired =
+    hasExtraVariable(session, connection) || connection.prepared.size > MAXIMUM_PREPARED_STATEMENTS;
+  const preparedState = isResetRequired ? createConnectionState() : connection;
+  const commands: UpstreamCommand[] = isResetRequired ? [{ type: 'reset' }] : [];
   for (const [name, value] of session.values) {
-    if (present.values.get(name) !== value) commands.push({ type: 'set', name, value });
+    if (preparedState.values.get(name) !== value) commands.push({ type: 'set', name, value });
   }
-  if (statement && !present.prepared.has(sharedStatementName(statement))) {
+  if (statement && !preparedState.prepared.has(sharedStatementName(statement))) {
     commands.push({ type: 'prepare', name: sharedStatementName(statement), ...statement });
   }
   return commands;
 }
 
-/** Records on the connection's state what a command of `planPreparation` did. @public */
+/** Applies a completed command of `planPreparation` to the recorded connection state. @public */
 export function applyPreparation(connection: ConnectionState, command: UpstreamCommand): void {
   if (command.type === 'reset') {
     connection.values.clear();
@@ -74,9 +78,9 @@
   if (command.type === 'prepare') connection.prepared.add(command.name);
 }
 
-/** How many commands a session would need on a connection; connections with fewest go first. @public */
+/** Number of commands needed to prepare a connection for the session. @public */
 export function countDifferences(session: SessionState, connection: ConnectionState): number {
-  let differences = hasForeignValue(session, connection) ? 1 + session.values.size : 0;
+  let differences = hasExtraVariable(session, connection) ? 1 + session.values.size : 0;
   if (differences > 0) return differences;
   for (const [name, value] of session.values) {
     if (connection.values.get(name) !== value) differences += 1;
@@ -84,7 +88,7 @@
   return differences;
 }
 
-function hasForeignValue(session: SessionState, connection: ConnectionState): boolean {
+function hasExtraVariable(session: SessionState, connection: ConnectionState): boolean {
   for (const name of connection.values.keys()) {
     if (!session.values.has(name)) return true;
   }
--- a/packages/pooling/src/lib/statements/callerStatement.ts
+++ b/packages/pooling/src/lib/statements/callerStatement.ts
@@ -2,13 +2,13 @@
 export type StatementAccess = 'read' | 'write';
 
 interface StatementBase {
-  /** Identity that the caller gave; it travels to the database unchanged. */
+  /** Identifier given by the caller, forwarded to the database unchanged. */
   id: string;
-  /** The statement as the caller wrote it; it travels to the database unchanged. */
+  /** Statement text as sent by the caller, forwarded to the database unchanged. */
   text: string;
 }
 
-/** One statement of a caller. @public */
+/** A statement received from a caller. @public */
 export type CallerStatement =
   | (StatementBase & { type: 'begin'; isReadOnly: boolean })
   | (StatementBase & { type: 'commit' | 'rollback' | 'read' | 'write' | 'unknown' })
--- a/packages/pooling/src/lib/statements/upstreamCommand.ts
+++ b/packages/pooling/src/lib/statements/upstreamCommand.ts
@@ -1,37 +1,37 @@
 import type { Position } from '@wisterialift/schema';
 import type { StatementAccess } from './callerStatement';
 
-/** What a member of a group can be asked to do over one connection. @public */
+/** A command sent to a member of a group over one connection. @public */
 export type UpstreamCommand =
-  /** A caller's statement; with `after`, only on a log that holds that position. */
+  /** A caller's statement; with `after`, it runs only if the member's log includes the position. */
   | { type: 'forward'; id: string; text: string; after?: Position }
-  /** A caller's prepared statement under the name that it has on this connection. */
+  /** Executes a prepared statement by its name on this connection. */
   | { type: 'execute'; id: string; name: string; argumentsText: string; after?: Position }
   | { type: 'begin'; isReadOnly: boolean; after?: Position }
   | { type: 'rollback' }
   | { type: 'set'; name: string; value: string }
   | { type: 'prepare'; name: string; access: StatementAccess; shape: string }
-  /** Clears the values and the prepared statements of the connection. */
+  /** Clears the variables and the prepared statements of the connection. */
   | { type: 'reset' }
   | { type: 'status' }
   /** Stops a replica from receiving the log until the member is promoted, resumed or restarted. */
   | { type: 'pause'; term: number }
-  /** Lets a stopped replica receive again. */
+  /** Lets a paused replica receive the log again. */
   | { type: 'resume' }
-  /** Makes a primary of a lower term a replica. */
+  /** Turns a primary of a lower term into a replica. */
   | { type: 'demote'; term: number };
 
-/** State of the connection's transaction after an answer. @public */
+/** Transaction state of the connection after an answer. @public */
 export type TransactionState = 'idle' | 'open' | 'failed';
 
 /**
- * Why a statement was not done.
+ * Why a statement did not complete.
  *
  * - `busy`, `lagging`, `readOnly`, `wrongMember`, `tooManyConnections`, `unknownStatement`: it did
  *   not run.
- * - `aborted`: nothing of the caller's attempt is kept.
+ * - `aborted`: it had no lasting effect.
  * - `failed`: it ran and failed.
- * - `timeout`, `unknownOutcome`: nothing is known.
+ * - `timeout`, `unknownOutcome`: it may or may not have run.
  *
  * @public
  */
@@ -49,7 +49,11 @@
   | 'malformed'
   | 'unknownDatabase';
 
-/** The whole answer of a member; `position` is the log that it has applied, where it told one. @public */
+/**
+ * A member's complete answer; `position` is the end of its applied log, if it reported one.
+ *
+ * @public
+ */
 export type UpstreamAnswer = {
   transaction: TransactionState;
   position?: Position;
@@ -58,10 +62,10 @@
   | { outcome: 'refused'; reason: FailureReason; detail: string }
 );
 
-/** What a member tells of itself. @public */
+/** A member's answer to a status request. @public */
 export interface MemberReport {
   isPrimary: boolean;
   term: number;
-  /** End of the log that it holds, applied or not. */
+  /** End of the log that the member has received, applied or not. */
   received: Position;
 }
--- a/packages/pooling/src/lib/timing/clockReadings.ts
+++ b/packages/pooling/src/lib/timing/clockReadings.ts
@@ -1,15 +1,15 @@
-/** Readings of both clocks at one moment, in milliseconds. @public */
+/** Readings of both clocks at the same moment, in milliseconds. @public */
 export interface ClockReadings {
-  /** Never steps, but stands still while the machine is suspended. */
+  /** Monotonic clock; stops while the machine is suspended. */
   steady: number;
-  /** Goes on during a suspension, but may step. */
+  /** Wall clock; runs during a suspension but may be adjusted. */
   wall: number;
 }
 
-/** A moment before all others, for what happened nobody knows when. @public */
+/** Earlier than any reading, for events whose time is unknown. @public */
 export const LONG_AGO: ClockReadings = { steady: -Infinity, wall: -Infinity };
 
-/** Milliseconds since a moment, by the clock that counted more. @public */
+/** Milliseconds since `since`, by whichever clock advanced more. @public */
 export function longestAge(since: ClockReadings, present: ClockReadings): number {
   return Math.max(present.steady - since.steady, present.wall - since.wall);
 }
--- a/packages/pooling/src/test/planHolders.test.ts
+++ b/packages/pooling/src/test/connectionHolders.test.ts
@@ -2,11 +2,11 @@
 import { planHolders } from '../index';
 import type { HolderCandidate, HolderPlan } from '../index';
 
-const PLACES = ['north', 'south', 'west'];
+const DATA_CENTRES = ['north', 'south', 'west'];
 
 /** `count` instances in each of three data centres, the first one of each four times as large. */
-function candidatesOf(count: number): HolderCandidate[] {
-  return PLACES.flatMap((dataCentre) =>
+function createCandidates(count: number): HolderCandidate[] {
+  return DATA_CENTRES.flatMap((dataCentre) =>
     Array.from({ length: count }, (_, index) => ({
       instance: `${dataCentre}-${index}`,
       dataCentre,
@@ -22,15 +22,20 @@
   group?: string;
 }): HolderPlan {
   const { count, maximumConnections, dataCentre = 'north', group = 'group-1' } = options;
-  return planHolders({ group, candidates: candidatesOf(count), dataCentre, maximumConnections });
+  return planHolders({
+    group,
+    candidates: createCandidates(count),
+    dataCentre,
+    maximumConnections,
+  });
 }
 
-function holdersOf(found: HolderPlan): string[] {
+function getNearHolders(found: HolderPlan): string[] {
   return found.type === 'everyone' ? [] : found.near.slice(0, found.nearCount);
 }
 
-describe('holders of connections', () => {
-  it('are all instances where each can have enough', () => {
+describe('planning connection holders', () => {
+  it('lets every instance connect if there are enough connections', () => {
     expect(plan({ count: 2, maximumConnections: 12 })).toEqual({ type: 'everyone' });
     expect(plan({ count: 2, maximumConnections: 11 }).type).toBe('holders');
   });
@@ -39,25 +44,25 @@
     [70, 2],
     [33, 1],
     [3, 1],
-  ])('are as many as %i connections are worth having, %i here', (maximumConnections, expected) => {
+  ])('plans for %i connections and %i holders per data centre', (maximumConnections, expected) => {
     expect(plan({ count: 20, maximumConnections })).toMatchObject({ nearCount: expected });
   });
 
-  it('are the same in the plans of all data centres', () => {
-    const plans = PLACES.map((dataCentre) =>
+  it('plans the same holders in all data centres', () => {
+    const plans = DATA_CENTRES.map((dataCentre) =>
       plan({ count: 20, maximumConnections: 60, dataCentre }),
     );
-    const near = plans.flatMap(holdersOf);
+    const near = plans.flatMap(getNearHolders);
     for (const found of plans) {
       const far = found.type === 'holders' ? found.far : [];
-      expect([...holdersOf(found), ...far].sort()).toEqual([...near].sort());
+      expect([...getNearHolders(found), ...far].sort()).toEqual([...near].sort());
     }
   });
 
-  it('are the larger instances more often', () => {
+  it('prefers instances with more processor capacity', () => {
     const groups = Array.from({ length: 100 }, (_, index) => `group-${index}`);
     const first = groups.flatMap((group) =>
-      holdersOf(plan({ count: 5, maximumConnections: 29, group })),
+      getNearHolders(plan({ count: 5, maximumConnections: 29, group })),
     );
     const large = first.filter((instance) => instance === 'north-0').length;
     expect(large / first.length).toBeGreaterThan(0.35);
--- a/packages/pooling/src/test/decisions.test.ts
+++ b/packages/pooling/src/test/decisions.test.ts
@@ -13,37 +13,37 @@
 } from '../index';
 import type { PreparedStatement } from '../index';
 
-describe('the state that a connection needs for a statement', () => {
-  const shape: PreparedStatement = { access: 'write', shape: 'q2c' };
+describe('preparing a connection', () => {
+  const statement: PreparedStatement = { access: 'write', shape: 'q2c' };
 
-  function plan(values: Record<string, string>, present: Record<string, string>) {
+  function planCommands(values: Record<string, string>, present: Record<string, string>) {
     const session = createSessionState();
     const connection = createConnectionState();
     Object.entries(values).forEach((entry) => session.values.set(...entry));
     Object.entries(present).forEach((entry) => connection.values.set(...entry));
     connection.prepared.add('r_q1');
-    return planPreparation({ session, connection, statement: shape });
+    return planPreparation({ session, connection, statement });
   }
 
-  it('is reached with the fewest commands', () => {
+  it('takes the fewest commands', () => {
     expect({
-      same: plan({ a: '1' }, { a: '1' }),
-      changed: plan({ a: '2', b: '1' }, { a: '1' }),
-      foreign: plan({ a: '1' }, { a: '1', b: '1' }),
+      same: planCommands({ a: '1' }, { a: '1' }),
+      changed: planCommands({ a: '2', b: '1' }, { a: '1' }),
+      extra: planCommands({ a: '1' }, { a: '1', b: '1' }),
     }).toMatchSnapshot();
   });
 
-  it('is recorded, so that the next statement needs nothing', () => {
+  it('takes no commands after the planned ones were applied', () => {
     const session = createSessionState();
     const connection = createConnectionState();
     session.values.set('a', '1');
-    const request = { session, connection, statement: shape };
+    const request = { session, connection, statement };
     for (const command of planPreparation(request)) applyPreparation(connection, command);
     expect(planPreparation(request)).toEqual([]);
   });
 });
 
-describe('the candidate for a promotion', () => {
+describe('choosing a replica to promote', () => {
   const replica = (memberId: string, index: number, options = {}) => ({
     memberId,
     received: { term: 1, index },
@@ -53,15 +53,23 @@
   });
 
   it.each([
-    ['the furthest log', [replica('b', 4), replica('c', 5)], 'c'],
-    ['of equal logs one that stays', [replica('b', 5, { isLeaving: true }), replica('c', 5)], 'c'],
-    ['of equal logs the preferred', [replica('b', 5), replica('c', 5, { isPreferred: true })], 'c'],
-  ])('is %s', (_, replicas, expected) => {
+    ['the replica with the highest log end', [replica('b', 4), replica('c', 5)], 'c'],
+    [
+      'of equal logs, a replica that is not leaving',
+      [replica('b', 5, { isLeaving: true }), replica('c', 5)],
+      'c',
+    ],
+    [
+      'of equal logs, the preferred replica',
+      [replica('b', 5), replica('c', 5, { isPreferred: true })],
+      'c',
+    ],
+  ])('chooses %s', (_, replicas, expected) => {
     expect(chooseCandidate(replicas)?.memberId).toBe(expected);
   });
 });
 
-describe('a replica that leaves', () => {
+describe('a leaving replica', () => {
   const leaving = {
     memberId: 'b',
     received: { term: 1, index: 5 },
@@ -75,47 +83,49 @@
     isPreferred: false,
   };
 
-  it('is not promoted, and neither is one that is behind it', () => {
-    // Callers' statements ran at a database seconds after it had said that it leaves.
-    // Two primaries had crashed one after the other, the third member was leaving, and it was
-    // promoted as the furthest log that was left.
+  it('is not promoted, and neither is a replica that is behind it', () => {
+    // A leaving replica with the highest log end was promoted and kept receiving statements.
     expect(chooseCandidate([leaving])).toBeUndefined();
     expect(chooseCandidate([leaving, staying])).toBeUndefined();
     expect(chooseCandidate([{ ...leaving, received: staying.received }, staying])).toBe(staying);
   });
 });
 
-describe('a write of a replaced primary', () => {
+describe('the outcome of a write of a replaced primary', () => {
   const started = { term: 2, origin: { term: 1, index: 7 } };
 
   it.each([
-    ['at the origin of the next term', { term: 1, index: 7 }, started, 'kept'],
-    ['past it', { term: 1, index: 8 }, started, 'discarded'],
-    ['two terms ago', { term: 1, index: 3 }, { ...started, term: 3 }, 'unknown'],
-    ['with no word of the next term', { term: 1, index: 3 }, undefined, 'unknown'],
-  ])('%s', (_, position, origin, fate) => {
-    expect(settleWrite(position, origin)).toBe(fate);
+    ['is kept at the origin of the next term', { term: 1, index: 7 }, started, 'kept'],
+    ['is discarded beyond the origin', { term: 1, index: 8 }, started, 'discarded'],
+    [
+      'is unknown if two terms have started since',
+      { term: 1, index: 3 },
+      { ...started, term: 3 },
+      'unknown',
+    ],
+    ['is unknown if the start of the next term is', { term: 1, index: 3 }, undefined, 'unknown'],
+  ])('%s', (_, position, origin, outcome) => {
+    expect(settleWrite(position, origin)).toBe(outcome);
   });
 });
 
-describe('a claim of the duty', () => {
+describe('the validity of a promotion claim', () => {
   const claimed = { steady: 1_000, wall: 900_000 };
 
-  it('lapses with its time', () => {
+  it('ends when the claim expires', () => {
     const late = CLAIM_VALID_MILLISECONDS;
     expect(isClaimValid(claimed, { steady: 1_200, wall: 900_200 })).toBe(true);
     expect(isClaimValid(claimed, { steady: 1_000 + late, wall: 900_000 + late })).toBe(false);
   });
 
-  it('lapses with a suspension, which the steady clock does not show', () => {
-    // Two instances promoted one after the other, the second order under a lower token.
-    // The holder was suspended between its claim and its order; its steady clock had stood still, so
-    // the claim looked young, while another instance had taken over.
+  it('ends with a suspension, during which the monotonic clock stops', () => {
+    // A holder suspended between claim and order took its claim for valid and sent the order with an
+    // outdated token, after another instance had taken over.
     expect(isClaimValid(claimed, { steady: 1_010, wall: 904_010 })).toBe(false);
   });
 });
 
-describe('placing a read', () => {
+describe('routing a read', () => {
   const member = (memberId: string, latency: number, load = 0, wait = 0) => ({
     memberId,
     latency,
@@ -127,11 +137,15 @@
   });
 
   it.each([
-    ['the nearest', [member('far', 55), member('near', 30)], 'near'],
-    ['another once the nearest has work', [member('far', 55), member('near', 30, 3)], 'far'],
-    ['one that needs no wait', [member('far', 55), member('near', 30, 0, 400)], 'far'],
+    ['the nearest member', [member('far', 55), member('near', 30)], 'near'],
+    [
+      'another member once the nearest is loaded',
+      [member('far', 55), member('near', 30, 3)],
+      'far',
+    ],
+    ['a member without replication lag', [member('far', 55), member('near', 30, 0, 400)], 'far'],
     [
-      'one to wait for before a full one',
+      'a lagging member over a fully loaded one',
       [member('full', 100, 12), member('late', 30, 0, 400)],
       'late',
     ],
@@ -139,7 +153,7 @@
     expect(orderMembersForRead(members)[0]?.memberId).toBe(expected);
   });
 
-  it('tries a member again that was slow', () => {
+  it('lowers the estimate of a slow member over time', () => {
     const estimate = createLatencyEstimate(30);
     for (let answer = 0; answer < 60; answer += 1) estimate.record(400, 0);
     const [slow, later] = [estimate.current(0), estimate.current(8_000)];
--- a/packages/pooling/src/test/placing.test.ts
+++ b/packages/pooling/src/test/routing.test.ts
@@ -7,18 +7,18 @@
   orderMembersForRead,
 } from '../index';
 
-describe('the belief of a lag', () => {
+describe('estimating replication lag', () => {
   const required = { position: { term: 1, index: 9 }, seenAt: 1_000 };
   const observed = { applied: { term: 1, index: 5 }, lag: 4_000, now: 1_100 };
 
-  function lagging() {
+  function createLaggingReplica() {
     const lag = createReplicaLag();
     lag.observe(observed);
     return lag;
   }
 
-  it('tells how long a read would wait', () => {
-    const lag = lagging();
+  it('estimates how long a read would wait', () => {
+    const lag = createLaggingReplica();
     expect([
       lag.timeUntilApplied(required, 1_100),
       lag.timeUntilApplied(required, 6_000),
@@ -26,10 +26,9 @@
     ]).toEqual([3_900, 0, 0]);
   });
 
-  it('is tried by one read at a time once it is old', () => {
-    // Reads were refused for seconds after the replicas were current again: a replica that is taken to
-    // lag gets no reads, and only answers to reads told that it does not lag any more.
-    const lag = lagging();
+  it('allows one probe at a time once the estimate has expired', () => {
+    // Without probes, replicas that had caught up received no reads and were still considered lagging.
+    const lag = createLaggingReplica();
     const seen = [lag.mayBeTried(1_300), lag.mayBeTried(1_600)];
     lag.beginTrial();
     seen.push(lag.mayBeTried(1_600));
@@ -40,17 +39,20 @@
     expect(seen).toEqual([false, true, false, true, false]);
   });
 
-  it('tells its age for the logs', () => {
-    expect([createReplicaLag().describe(1), lagging().describe(1_500)]).toMatchSnapshot();
+  it('describes the last lag and its age', () => {
+    expect([
+      createReplicaLag().describe(1),
+      createLaggingReplica().describe(1_500),
+    ]).toMatchSnapshot();
   });
 });
 
-describe('placing by what can run', () => {
+describe('ordering members for a read', () => {
   const idle = { latency: 30, load: 0, capacity: 4, delay: 0, wait: 0, isReserved: false };
 
   it.each([
     [
-      'a far member before a near one with a single connection in use',
+      'a remote member over a near one whose only connection is in use',
       [
         { ...idle, memberId: 'near', load: 2, capacity: 1 },
         { ...idle, memberId: 'far', latency: 55 },
@@ -58,7 +60,7 @@
       'far',
     ],
     [
-      'a far replica before a near primary that others need',
+      'a remote replica over a near primary',
       [
         { ...idle, memberId: 'primary', isReserved: true },
         { ...idle, memberId: 'replica', latency: 55 },
@@ -66,7 +68,7 @@
       'replica',
     ],
     [
-      'the primary before replicas that are far behind',
+      'the primary over a lagging replica',
       [
         { ...idle, memberId: 'primary', isReserved: true },
         { ...idle, memberId: 'replica', wait: 400 },
@@ -74,7 +76,7 @@
       'primary',
     ],
     [
-      'a member with a connection before one without',
+      'a member with a free connection over one without',
       [
         { ...idle, memberId: 'none', delay: 500 },
         { ...idle, memberId: 'open', latency: 100, load: 3 },
@@ -86,8 +88,8 @@
   });
 });
 
-describe('the statement that runs next', () => {
-  it('has the highest priority, and came first of these', () => {
+describe('choosing the next statement', () => {
+  it('chooses the highest priority, and among equals the oldest', () => {
     const waiting = [
       { id: 'late', priority: 1, arrivedAt: 30 },
       { id: 'low', priority: 2, arrivedAt: 10 },
@@ -98,8 +100,8 @@
   });
 });
 
-describe('the wait for a turn', () => {
-  it('may last for the caller’s time in a burst, and a part of the goal in an overload', () => {
+describe('the maximum time in a queue', () => {
+  it('is the time left in a burst, and at most a fraction of the goal in an overload', () => {
     const statement = { goal: 1_000, timeLeft: 900 };
     expect([
       longestWait({ ...statement, queuedFor: 0 }),
@@ -109,8 +111,8 @@
   });
 });
 
-describe('the time to come back after a refusal', () => {
-  it('is that of the shortest queue, and differs between callers', () => {
+describe('the delay before a retry', () => {
+  it('follows the expected wait, with jitter and within limits', () => {
     expect([
       comeBackTime({ expectedWait: 400, spread: 0 }),
       comeBackTime({ expectedWait: 400, spread: 0.5 }),
