--- a/packages/schema/src/lib/position/position.ts
+++ b/packages/schema/src/lib/position/position.ts
@@ -19,8 +19,8 @@
 /**
  * Orders positions by term, then by index.
  *
- * A log that ends at a higher position does not necessarily contain a lower one, since entries of
- * an earlier term may have been discarded.
+ * A log does not necessarily contain all positions below its end: entries of earlier terms may have
+ * been discarded.
  *
  * @returns a negative number, zero or a positive number, as `Array.prototype.sort` expects.
  * @public
