--- a/packages/pooling/src/lib/promotion/writeOutcome.ts
+++ b/packages/pooling/src/lib/promotion/writeOutcome.ts
@@ -12,8 +12,7 @@
 /**
  * Determines the outcome of a write from the log end that the next term started from.
  *
- * Only the term that directly follows the write's is conclusive, since a later one may have started
- * from a different log.
+ * Later terms are inconclusive, since they may have started from a different log.
  *
  * @public
  */
--- a/packages/pooling/src/lib/replication/replicationTracker.ts
+++ b/packages/pooling/src/lib/replication/replicationTracker.ts
@@ -53,9 +53,9 @@
    * Waits until a replica answers in `term` to a request sent after `sequence`, which shows that
    * what the primary read is current.
    *
-   * A later term acknowledges commits only when all of its replicas but one have applied an entry
-   * of it, and here two members, the replica and the primary, still answer in `term`. Entries
-   * received but not applied do not count on either side, since reads do not show them.
+   * A commit of a later term is acknowledged only when all of that term's replicas but at most one
+   * have applied an entry of it; here the replica and the primary both still answer in `term`.
+   * Received but unapplied entries count on neither side, since reads do not show them.
    */
   waitForTerm: (options: { term: number; sequence: number; primaryId: string }) => EvidenceWait;
   /** Oldest log end of the primary that was requested at most `maximumAge` ms ago, or undefined. */
--- a/packages/pooling/src/lib/routing/connectionHolders.ts
+++ b/packages/pooling/src/lib/routing/connectionHolders.ts
@@ -41,9 +41,8 @@
 /**
  * Plans which instances hold the connections to the members of a group.
  *
- * A large deployment has more instances than a member accepts connections. The plan depends only on
- * the list of instances, so instances with the same list agree without communicating; differing
- * lists only add holders for a while.
+ * Instances with the same list of candidates compute the same plan without communicating; differing
+ * lists only add holders.
  *
  * @public
  */
--- a/packages/pooling/src/lib/routing/queueWaitLimit.ts
+++ b/packages/pooling/src/lib/routing/queueWaitLimit.ts
@@ -7,8 +7,7 @@
 /**
  * Maximum time that a statement may be queued before it is refused, in milliseconds.
  *
- * After a burst the queue drains and every statement is served. In an overload a long queue only
- * delays every statement without increasing throughput.
+ * In an overload, unlike after a burst, a long queue only adds latency.
  *
  * @public
  */
--- a/packages/pooling/src/lib/routing/replicaLag.ts
+++ b/packages/pooling/src/lib/routing/replicaLag.ts
@@ -27,9 +27,8 @@
 /**
  * Tracks the replication lag of a replica.
  *
- * A lagging replica receives no reads, so its estimate would never be updated. One read at a time
- * therefore probes an expired estimate; the replica checks the position itself, so a probe never
- * returns outdated data.
+ * A lagging replica receives no reads that would update its estimate, so single reads probe an
+ * expired one. The replica checks the position itself and never returns outdated data.
  *
  * @public
  */
--- a/packages/pooling/src/lib/session/sessionState.ts
+++ b/packages/pooling/src/lib/session/sessionState.ts
@@ -43,9 +43,9 @@
 }
 
 /**
- * Commands that bring a connection into the state that a statement of the session needs.
+ * Commands that bring a connection into the state that a statement needs.
  *
- * A variable that the session has not set can only be removed by resetting the connection.
+ * A variable that the session has not set can only be removed by a reset.
  *
  * @public
  */
