--- a/packages/pooling/src/lib/promotion/promotionCandidate.ts
+++ b/packages/pooling/src/lib/promotion/promotionCandidate.ts
@@ -11,10 +11,10 @@
 }
 
 /**
- * Chooses the replica with the highest log end, which includes every acknowledged write.
+ * Chooses the replica with the highest log end; its log includes every acknowledged write.
  *
  * A leaving replica is never promoted. If it alone has the highest log end, no replica is, since
- * the others may lack a write that it confirmed.
+ * the others may lack a write that the leaving replica confirmed.
  *
  * @returns undefined if no replica can be promoted now.
  * @public
--- a/packages/pooling/src/lib/promotion/promotionClaim.ts
+++ b/packages/pooling/src/lib/promotion/promotionClaim.ts
@@ -7,9 +7,12 @@
   holder: z.string(),
   /** Fencing token, incremented by each claim. */
   token: z.number().int().nonnegative(),
-  /** Whether the holder may still send orders with the token. */
+  /** Whether the holder may still send commands with the token. */
   isClaimed: z.boolean(),
-  /** First term of the last promotion and the log end that it started from, once known. */
+  /**
+   * Term started by the last promotion, its primary, and the log end that it started from; absent
+   * until known.
+   */
   started: z
     .object({
       term: z.number().int(),
@@ -23,8 +26,8 @@
 export type PromotionRecord = z.infer<typeof promotionRecordSchema>;
 
 /**
- * Time for which a claim allows its holder to send orders, from before the claim was requested.
- * Covers stopping two replicas and promoting one: four round trips of 100 ms, with retransmissions.
+ * Validity of a claim, counted from just before the request for it was sent. Covers pausing two
+ * replicas and promoting one: four round trips of 100 ms, with retransmissions.
  *
  * @public
  */
@@ -32,25 +35,25 @@
 
 /**
  * Time after which another instance may take over an unchanged claim: its validity, the timeout of
- * an order in flight (400 ms) and a margin for clock drift.
+ * a command in flight (400 ms) and a margin for clock drift.
  *
  * @public
  */
 export const CLAIM_TAKEOVER_MILLISECONDS = 2_200;
 
-/** Difference between the two clocks above which the process counts as suspended. */
+/** Difference between the two clocks above which the machine counts as suspended. */
 const SUSPENSION_THRESHOLD_MILLISECONDS = 100;
 
 /**
- * Whether a claim still allows its holder to send orders.
+ * Whether a claim still allows its holder to send commands.
  *
- * The monotonic clock stops while the process is suspended and the wall clock does not. If the two
+ * The monotonic clock stops while the machine is suspended and the wall clock does not. If the two
  * disagree, another instance may have taken over, so the claim counts as expired.
  *
  * @public
  */
-export function isClaimValid(claimed: ClockReadings, present: ClockReadings): boolean {
-  const elapsed = present.steady - claimed.steady;
-  const clockDivergence = Math.abs(present.wall - claimed.wall - elapsed);
+export function isClaimValid(claimed: ClockReadings, now: ClockReadings): boolean {
+  const elapsed = now.steady - claimed.steady;
+  const clockDivergence = Math.abs(now.wall - claimed.wall - elapsed);
   return elapsed < CLAIM_VALID_MILLISECONDS && clockDivergence < SUSPENSION_THRESHOLD_MILLISECONDS;
 }
--- a/packages/pooling/src/lib/promotion/writeOutcome.ts
+++ b/packages/pooling/src/lib/promotion/writeOutcome.ts
@@ -12,7 +12,8 @@
 /**
  * Determines the outcome of a write from the log end that the next term started from.
  *
- * Later terms are inconclusive, since they may have started from a different log.
+ * Conclusive only if the directly following term is known and started from an entry of the write's
+ * own term; otherwise the outcome is unknown.
  *
  * @public
  */
--- a/packages/pooling/src/lib/replication/positionHistory.ts
+++ b/packages/pooling/src/lib/replication/positionHistory.ts
@@ -13,15 +13,18 @@
   add: (sample: PositionSample) => void;
   /** Oldest sample of `term` requested at or after `since`, or undefined. */
   findOldest: (options: { since: number; term: number }) => PositionSample | undefined;
-  /** When the primary was first seen beyond `position`, or undefined if it was not. */
-  findTimeBeyond: (position: Position) => number | undefined;
+  /** Request time of the oldest sample of the same term with a higher index, or undefined. */
+  findTimeObservedBeyond: (position: Position) => number | undefined;
   clear: () => void;
 }
 
 /** Samples taken within this interval of the previous one are dropped. */
 const SAMPLE_INTERVAL_MILLISECONDS = 20;
 
-/** Covers 8 s at the interval above, longer than the staleness that callers accept. */
+/**
+ * Covers at least 8 s at the interval above. Reads that accept older data get the oldest retained
+ * sample, which is stricter than they need.
+ */
 const MAXIMUM_SAMPLES = 400;
 
 export function createPositionHistory(): PositionHistory {
@@ -38,7 +41,7 @@
     },
     findOldest: ({ since, term }) =>
       samples.find((sample) => sample.askedAt >= since && sample.term === term),
-    findTimeBeyond: ({ term, index }) =>
+    findTimeObservedBeyond: ({ term, index }) =>
       samples.find((sample) => sample.term === term && sample.position.index > index)?.askedAt,
     clear: () => {
       samples = [];
--- a/packages/pooling/src/lib/replication/replicationTracker.ts
+++ b/packages/pooling/src/lib/replication/replicationTracker.ts
@@ -11,7 +11,7 @@
   /** When the request was sent, in milliseconds of the monotonic clock. */
   askedAt: number;
   term: number;
-  /** End of the log that the member has received, as of `term`. */
+  /** End of the log that the member has received; may be of a term lower than `term`. */
   position: Position;
   /** End of the log that the member has applied and its reads show; may be of an earlier term. */
   applied: Position;
@@ -37,11 +37,11 @@
   nextSequence: () => number;
   observe: (observation: Observation) => void;
   /**
-   * Waits until all replicas but at most one have applied an entry of the term of `position`, and
-   * one of those has received `position`.
+   * Waits until a replica has received `position`, and it and all other replicas except at most one
+   * have applied an entry of its term.
    *
-   * Promotion stops all replicas before it reads their logs, so a received position is in the log
-   * that the next term starts from. Counting the others protects reads, see `waitForTerm`.
+   * The first condition makes the commit survive a promotion, which pauses all replicas and starts
+   * the next term from their highest log end. The second lets `waitForTerm` rely on one replica.
    */
   waitForCopy: (options: {
     position: Position;
@@ -53,14 +53,21 @@
    * Waits until a replica answers in `term` to a request sent after `sequence`, which shows that
    * what the primary read is current.
    *
-   * A commit of a later term is acknowledged only when all of that term's replicas but at most one
-   * have applied an entry of it; here the replica and the primary both still answer in `term`.
-   * Received but unapplied entries count on neither side, since reads do not show them.
+   * A commit of a later term is acknowledged only once at most one member besides its primary has
+   * applied none of its entries. The answering replica and the primary of `term` are two such
+   * members, so no such commit preceded the read. Only applied entries count, since reads show no
+   * others.
    */
   waitForTerm: (options: { term: number; sequence: number; primaryId: string }) => EvidenceWait;
-  /** Oldest log end of the primary that was requested at most `maximumAge` ms ago, or undefined. */
+  /**
+   * Minimum position for a read that accepts data up to `maximumAge` ms old: the oldest sample of
+   * the highest term that was requested within that time, or undefined.
+   */
   findFloor: (options: { now: number; maximumAge: number }) => PositionSample | undefined;
-  /** When the primary was first seen beyond `position`, in milliseconds of the monotonic clock. */
+  /**
+   * Request time of the oldest retained sample of the same term with a higher index, in milliseconds
+   * of the monotonic clock, or undefined.
+   */
   timeBeyond: (position: Position) => number | undefined;
   /** Adds a position that covers everything acknowledged before `askedAt`. */
   addFloor: (floor: { askedAt: number; position: Position }) => void;
@@ -68,7 +75,7 @@
   highestTerm: () => number;
   lastSeen: (memberId: string) => Observation | undefined;
   hasPendingWaits: () => boolean;
-  /** Discards the observations of a member that was removed or has a new address. */
+  /** Discards the observations of a member that left the group. */
   forgetMember: (memberId: string) => void;
   /**
    * Discards the observations of a restarted member and accepts none for confirmation that were
@@ -100,7 +107,7 @@
   const latestObservations = new Map<string, Observation>();
   const receivedPositions = new Map<string, Position>();
   const appliedTerms = new Map<string, number>();
-  const trustedFrom = new Map<string, number>();
+  const validFrom = new Map<string, number>();
   const waits = new Set<PendingWait>();
   let sequence = 0;
   let highestTerm = 0;
@@ -129,7 +136,10 @@
     }
   };
 
-  /** Keeps the highest position: within a term, logs are never truncated. */
+  /**
+   * Keeps the highest position, since logs are never truncated within a term. Ignores log ends of
+   * earlier terms, which may still be truncated.
+   */
   const recordReceivedPosition = ({ memberId, term, position }: Observation) => {
     const known = receivedPositions.get(memberId);
     const isHigher = known === undefined || comparePositions(position, known) > 0;
@@ -150,8 +160,8 @@
     appliedTerms.delete(memberId);
   };
 
-  const isTrusted = ({ memberId, askedAt }: Observation) =>
-    askedAt >= (trustedFrom.get(memberId) ?? -Infinity);
+  const isObservationValid = ({ memberId, askedAt }: Observation) =>
+    askedAt >= (validFrom.get(memberId) ?? -Infinity);
 
   const hasReceived = (memberId: string, { term, index }: Position) => {
     const known = receivedPositions.get(memberId);
@@ -169,7 +179,7 @@
     observe: (observation) => {
       const previous = latestObservations.get(observation.memberId);
       highestTerm = Math.max(highestTerm, observation.term);
-      if (isTrusted(observation)) {
+      if (isObservationValid(observation)) {
         if (!previous || isNewer(observation, previous)) {
           latestObservations.set(observation.memberId, observation);
         }
@@ -210,13 +220,13 @@
       highestTerm = Math.max(highestTerm, position.term);
       positionHistory.add({ askedAt, term: position.term, position });
     },
-    timeBeyond: positionHistory.findTimeBeyond,
+    timeBeyond: positionHistory.findTimeObservedBeyond,
     highestTerm: () => highestTerm,
     lastSeen: (memberId) => latestObservations.get(memberId),
     forgetMember,
     restartMember: (memberId, options) => {
       forgetMember(memberId);
-      trustedFrom.set(memberId, options.trustedFrom);
+      validFrom.set(memberId, options.trustedFrom);
     },
     hasPendingWaits: () => waits.size > 0,
     forgetAges: () => positionHistory.clear(),
--- a/packages/pooling/src/lib/routing/chooseNextStatement.ts
+++ b/packages/pooling/src/lib/routing/chooseNextStatement.ts
@@ -1,6 +1,6 @@
 /** A statement queued for a member. @public */
 export interface QueuedStatement {
-  /** 0 is the highest priority. */
+  /** Lower numbers run first, unlike `RequestKind.priority`. */
   priority: number;
   /** Milliseconds of the monotonic clock. */
   arrivedAt: number;
--- a/packages/pooling/src/lib/routing/connectionHolders.ts
+++ b/packages/pooling/src/lib/routing/connectionHolders.ts
@@ -30,19 +30,19 @@
 const MINIMUM_CONNECTIONS = 2;
 
 /**
- * Connections per member of one holder. Smaller holders see fewer answers, which confirm commits
- * and reads; the loss of a larger one affects more callers.
+ * Connections per member of one holder. With fewer, a holder observes too few answers to confirm
+ * commits and reads without extra requests; with more, its failure affects more callers.
  */
 const CONNECTIONS_PER_HOLDER = 10;
 
-/** Fraction of a member's connections given to holders; the rest covers changes of holders. */
+/** Fraction of a member's connections given to holders; the rest is for instances that take over. */
 const ALLOCATED_FRACTION = 0.9;
 
 /**
  * Plans which instances hold the connections to the members of a group.
  *
- * Instances with the same list of candidates compute the same plan without communicating; differing
- * lists only add holders.
+ * Instances with the same list of candidates compute the same plan without communicating. If the
+ * lists differ, more instances may act as holders than planned.
  *
  * @public
  */
@@ -55,8 +55,8 @@
   const { group, candidates, dataCentre, maximumConnections } = options;
   if (maximumConnections >= candidates.length * MINIMUM_CONNECTIONS) return { type: 'everyone' };
   const ranked = rankInstancesByDataCentre(group, candidates);
-  const holderCount = (maximumConnections * ALLOCATED_FRACTION) / CONNECTIONS_PER_HOLDER;
-  const nearCount = Math.max(1, Math.floor(holderCount / ranked.size));
+  const totalHolders = (maximumConnections * ALLOCATED_FRACTION) / CONNECTIONS_PER_HOLDER;
+  const nearCount = Math.max(1, Math.floor(totalHolders / ranked.size));
   const remoteDataCentres = [...ranked].filter(([name]) => name !== dataCentre);
   return {
     type: 'holders',
--- a/packages/pooling/src/lib/routing/orderMembersForRead.ts
+++ b/packages/pooling/src/lib/routing/orderMembersForRead.ts
@@ -16,16 +16,16 @@
 }
 
 /**
- * Statements of this instance that add one latency to the estimate, given enough connections. Kept
- * low: the load of other instances shows only in the latency.
+ * Number of this instance's statements that a member is assumed to run in parallel. Lower than the
+ * real number, because statements of other instances are not counted in `load`.
  */
-const STATEMENTS_PER_LATENCY = 2;
+const ASSUMED_PARALLEL_STATEMENTS = 2;
 
 /**
  * A read goes to the primary only if all replicas would take longer by this factor, since writes
  * can go nowhere else.
  */
-const RESERVED_TIME_FACTOR = 2;
+const EXCLUSIVE_MEMBER_TIME_FACTOR = 2;
 
 /**
  * Orders members by the time at which they are expected to answer a read, fastest first.
@@ -43,7 +43,7 @@
  */
 function estimateAnswerTime(member: MemberLoad): number {
   const { latency, load, capacity, delay, wait, isReserved } = member;
-  const queuedLatencies = load / Math.max(1, Math.min(STATEMENTS_PER_LATENCY, capacity));
-  const time = latency * (1 + queuedLatencies) + delay + wait;
-  return isReserved ? time * RESERVED_TIME_FACTOR : time;
+  const latenciesInQueue = load / Math.max(1, Math.min(ASSUMED_PARALLEL_STATEMENTS, capacity));
+  const time = latency * (1 + latenciesInQueue) + delay + wait;
+  return isReserved ? time * EXCLUSIVE_MEMBER_TIME_FACTOR : time;
 }
--- a/packages/pooling/src/lib/routing/queueWaitLimit.ts
+++ b/packages/pooling/src/lib/routing/queueWaitLimit.ts
@@ -1,4 +1,4 @@
-/** A queue that has not been empty for longer than this is treated as overloaded. */
+/** A queue that has been non-empty for longer than this is treated as overloaded. */
 const MAXIMUM_BURST_MILLISECONDS = 1_000;
 
 /** Fraction of the latency goal that a statement may spend queued during an overload. */
@@ -7,7 +7,8 @@
 /**
  * Maximum time that a statement may be queued before it is refused, in milliseconds.
  *
- * In an overload, unlike after a burst, a long queue only adds latency.
+ * A burst may use all the time left. In a lasting overload the queue does not drain, so waiting
+ * longer only adds latency.
  *
  * @public
  */
--- a/packages/pooling/src/lib/routing/remainingAdmissionTime.ts
+++ b/packages/pooling/src/lib/routing/remainingAdmissionTime.ts
@@ -8,7 +8,7 @@
  * Milliseconds for which new statements may still be sent to a leaving member; zero or less if they
  * may not.
  *
- * @param options.leavingSince - the member started leaving at this time or later.
+ * @param options.leavingSince - clock readings taken no later than when the member started leaving.
  * @param options.bound - milliseconds after which no new statement may reach a leaving member.
  * @public
  */
--- a/packages/pooling/src/lib/routing/replicaLag.ts
+++ b/packages/pooling/src/lib/routing/replicaLag.ts
@@ -4,14 +4,18 @@
 /** Position that a read requires, and when the primary was observed there. @public */
 export interface RequiredLog {
   position: Position;
+  /** Milliseconds of the monotonic clock. */
   seenAt: number;
 }
 
 /** Estimated replication lag of one replica. @public */
 export interface ReplicaLag {
   /** Records an applied position and its lag behind the primary, in milliseconds. */
-  observe: (seen: { applied: Position; lag: number; now: number }) => void;
-  /** Milliseconds until the replica is expected to have applied `required`. */
+  observe: (observation: { applied: Position; lag: number; now: number }) => void;
+  /**
+   * Milliseconds until the replica is expected to have applied `required`; 0 if it has applied it
+   * or was never observed.
+   */
   timeUntilApplied: (required: RequiredLog | undefined, now: number) => number;
   /** Whether the estimate has expired and no probe is in flight. */
   mayBeTried: (now: number) => boolean;
@@ -27,8 +31,8 @@
 /**
  * Tracks the replication lag of a replica.
  *
- * A lagging replica receives no reads that would update its estimate, so single reads probe an
- * expired one. The replica checks the position itself and never returns outdated data.
+ * A lagging replica receives no reads that would update its estimate, so once the estimate
+ * expires, one read at a time is sent as a probe. The replica checks the position itself and never returns outdated data.
  *
  * @public
  */
@@ -39,9 +43,9 @@
   let isProbeInFlight = false;
 
   return {
-    observe: (seen) => {
-      ({ applied, lag } = seen);
-      seenAt = seen.now;
+    observe: (observation) => {
+      ({ applied, lag } = observation);
+      seenAt = observation.now;
     },
     timeUntilApplied: (required, now) => {
       if (!required || !applied || isAtMost(required.position, applied)) return 0;
--- a/packages/pooling/src/lib/routing/retryDelay.ts
+++ b/packages/pooling/src/lib/routing/retryDelay.ts
@@ -1,4 +1,4 @@
-/** Used when no queue length is known; most changes of primary finish within this time. */
+/** Used if `expectedWait` is not given; most failovers finish within this time. */
 const DEFAULT_EXPECTED_WAIT_MILLISECONDS = 300;
 
 const MINIMUM_RETRY_DELAY_MILLISECONDS = 50;
@@ -10,7 +10,8 @@
 /**
  * Time after which a refused caller should retry, in milliseconds.
  *
- * Follows the shortest queue, with jitter so that refused callers do not all retry at once.
+ * The expected wait within fixed limits, plus jitter so that refused callers do not all retry at
+ * once.
  *
  * @public
  */
--- a/packages/pooling/src/lib/session/sessionState.ts
+++ b/packages/pooling/src/lib/session/sessionState.ts
@@ -4,6 +4,7 @@
 /** A statement that a caller prepared. @public */
 export interface PreparedStatement {
   access: StatementAccess;
+  /** Identifies the statement; sessions with the same shape and access share it on a connection. */
   shape: string;
 }
 
@@ -37,7 +38,7 @@
   return { values: new Map(), prepared: new Set() };
 }
 
-/** Name of a prepared statement on a connection; sessions with the same shape share it. @public */
+/** Name of a prepared statement on a connection; shared by all sessions that use it. @public */
 export function sharedStatementName({ access, shape }: PreparedStatement): string {
   return `${access === 'read' ? 'r' : 'w'}_${shape}`;
 }
@@ -57,12 +58,12 @@
   const { session, connection, statement } = options;
   const isResetRequired =
     hasExtraVariable(session, connection) || connection.prepared.size > MAXIMUM_PREPARED_STATEMENTS;
-  const preparedState = isResetRequired ? createConnectionState() : connection;
+  const startingState = isResetRequired ? createConnectionState() : connection;
   const commands: UpstreamCommand[] = isResetRequired ? [{ type: 'reset' }] : [];
   for (const [name, value] of session.values) {
-    if (preparedState.values.get(name) !== value) commands.push({ type: 'set', name, value });
+    if (startingState.values.get(name) !== value) commands.push({ type: 'set', name, value });
   }
-  if (statement && !preparedState.prepared.has(sharedStatementName(statement))) {
+  if (statement && !startingState.prepared.has(sharedStatementName(statement))) {
     commands.push({ type: 'prepare', name: sharedStatementName(statement), ...statement });
   }
   return commands;
@@ -78,14 +79,20 @@
   if (command.type === 'prepare') connection.prepared.add(command.name);
 }
 
-/** Number of commands needed to prepare a connection for the session. @public */
+/**
+ * Number of `reset` and `set` commands that give the connection the variables of the session.
+ *
+ * Ignores prepared statements.
+ *
+ * @public
+ */
 export function countDifferences(session: SessionState, connection: ConnectionState): number {
-  let differences = hasExtraVariable(session, connection) ? 1 + session.values.size : 0;
-  if (differences > 0) return differences;
+  let commandCount = hasExtraVariable(session, connection) ? 1 + session.values.size : 0;
+  if (commandCount > 0) return commandCount;
   for (const [name, value] of session.values) {
-    if (connection.values.get(name) !== value) differences += 1;
+    if (connection.values.get(name) !== value) commandCount += 1;
   }
-  return differences;
+  return commandCount;
 }
 
 function hasExtraVariable(session: SessionState, connection: ConnectionState): boolean {
--- a/packages/pooling/src/lib/statements/callerStatement.ts
+++ b/packages/pooling/src/lib/statements/callerStatement.ts
@@ -11,8 +11,10 @@
 /** A statement received from a caller. @public */
 export type CallerStatement =
   | (StatementBase & { type: 'begin'; isReadOnly: boolean })
+  /** `unknown` is text that is not a statement; it is refused. */
   | (StatementBase & { type: 'commit' | 'rollback' | 'read' | 'write' | 'unknown' })
   | (StatementBase & { type: 'set'; name: string; value: string })
+  /** `shape` is that of `PreparedStatement`. */
   | (StatementBase & { type: 'prepare'; name: string; access: StatementAccess; shape: string })
   | (StatementBase & { type: 'execute'; name: string; argumentsText: string })
   | (StatementBase & { type: 'deallocate'; name: string });
--- a/packages/pooling/src/lib/statements/upstreamCommand.ts
+++ b/packages/pooling/src/lib/statements/upstreamCommand.ts
@@ -3,13 +3,14 @@
 
 /** A command sent to a member of a group over one connection. @public */
 export type UpstreamCommand =
-  /** A caller's statement; with `after`, it runs only if the member's log includes the position. */
+  /** A caller's statement; with `after`, it runs only if the member has applied the position. */
   | { type: 'forward'; id: string; text: string; after?: Position }
   /** Executes a prepared statement by its name on this connection. */
   | { type: 'execute'; id: string; name: string; argumentsText: string; after?: Position }
   | { type: 'begin'; isReadOnly: boolean; after?: Position }
   | { type: 'rollback' }
   | { type: 'set'; name: string; value: string }
+  /** `shape` is that of `PreparedStatement`. */
   | { type: 'prepare'; name: string; access: StatementAccess; shape: string }
   /** Clears the variables and the prepared statements of the connection. */
   | { type: 'reset' }
@@ -27,8 +28,8 @@
 /**
  * Why a statement did not complete.
  *
- * - `busy`, `lagging`, `readOnly`, `wrongMember`, `tooManyConnections`, `unknownStatement`: it did
- *   not run.
+ * - `busy`, `lagging`, `readOnly`, `wrongMember`, `tooManyConnections`, `unknownStatement`,
+ *   `malformed`, `unknownDatabase`: it did not run.
  * - `aborted`: it had no lasting effect.
  * - `failed`: it ran and failed.
  * - `timeout`, `unknownOutcome`: it may or may not have run.
@@ -52,6 +53,10 @@
 /**
  * A member's complete answer; `position` is the end of its applied log, if it reported one.
  *
+ * - `completed`: `signature` identifies the database that ran the statement.
+ * - `refused`: any answer other than completion, so the statement may have run; see
+ *   {@link FailureReason}.
+ *
  * @public
  */
 export type UpstreamAnswer = {
@@ -62,7 +67,7 @@
   | { outcome: 'refused'; reason: FailureReason; detail: string }
 );
 
-/** A member's answer to a status request. @public */
+/** State of a member, read by the driver from its answer to a command. @public */
 export interface MemberReport {
   isPrimary: boolean;
   term: number;
--- a/packages/pooling/src/lib/timing/clockReadings.ts
+++ b/packages/pooling/src/lib/timing/clockReadings.ts
@@ -10,6 +10,6 @@
 export const LONG_AGO: ClockReadings = { steady: -Infinity, wall: -Infinity };
 
 /** Milliseconds since `since`, by whichever clock advanced more. @public */
-export function longestAge(since: ClockReadings, present: ClockReadings): number {
-  return Math.max(present.steady - since.steady, present.wall - since.wall);
+export function longestAge(since: ClockReadings, now: ClockReadings): number {
+  return Math.max(now.steady - since.steady, now.wall - since.wall);
 }
--- a/packages/pooling/src/test/connectionHolders.test.ts
+++ b/packages/pooling/src/test/connectionHolders.test.ts
@@ -30,8 +30,8 @@
   });
 }
 
-function getNearHolders(found: HolderPlan): string[] {
-  return found.type === 'everyone' ? [] : found.near.slice(0, found.nearCount);
+function getNearHolders(holderPlan: HolderPlan): string[] {
+  return holderPlan.type === 'everyone' ? [] : holderPlan.near.slice(0, holderPlan.nearCount);
 }
 
 describe('planning connection holders', () => {
@@ -53,19 +53,19 @@
       plan({ count: 20, maximumConnections: 60, dataCentre }),
     );
     const near = plans.flatMap(getNearHolders);
-    for (const found of plans) {
-      const far = found.type === 'holders' ? found.far : [];
-      expect([...getNearHolders(found), ...far].sort()).toEqual([...near].sort());
+    for (const holderPlan of plans) {
+      const far = holderPlan.type === 'holders' ? holderPlan.far : [];
+      expect([...getNearHolders(holderPlan), ...far].sort()).toEqual([...near].sort());
     }
   });
 
   it('prefers instances with more processor capacity', () => {
     const groups = Array.from({ length: 100 }, (_, index) => `group-${index}`);
-    const first = groups.flatMap((group) =>
+    const holders = groups.flatMap((group) =>
       getNearHolders(plan({ count: 5, maximumConnections: 29, group })),
     );
-    const large = first.filter((instance) => instance === 'north-0').length;
-    expect(large / first.length).toBeGreaterThan(0.35);
-    expect(large / first.length).toBeLessThan(0.65);
+    const large = holders.filter((instance) => instance === 'north-0').length;
+    expect(large / holders.length).toBeGreaterThan(0.35);
+    expect(large / holders.length).toBeLessThan(0.65);
   });
 });
--- a/packages/pooling/src/test/decisions.test.ts
+++ b/packages/pooling/src/test/decisions.test.ts
@@ -13,14 +13,17 @@
 } from '../index';
 import type { PreparedStatement } from '../index';
 
-describe('preparing a connection', () => {
+describe('restoring session state on a connection', () => {
   const statement: PreparedStatement = { access: 'write', shape: 'q2c' };
 
-  function planCommands(values: Record<string, string>, present: Record<string, string>) {
+  function planCommands(
+    sessionVariables: Record<string, string>,
+    connectionVariables: Record<string, string>,
+  ) {
     const session = createSessionState();
     const connection = createConnectionState();
-    Object.entries(values).forEach((entry) => session.values.set(...entry));
-    Object.entries(present).forEach((entry) => connection.values.set(...entry));
+    Object.entries(sessionVariables).forEach((entry) => session.values.set(...entry));
+    Object.entries(connectionVariables).forEach((entry) => connection.values.set(...entry));
     connection.prepared.add('r_q1');
     return planPreparation({ session, connection, statement });
   }
@@ -84,7 +87,8 @@
   };
 
   it('is not promoted, and neither is a replica that is behind it', () => {
-    // A leaving replica with the highest log end was promoted and kept receiving statements.
+    // Guards against promoting a leaving replica, or a replica that lacks a write that the leaving one
+    // confirmed.
     expect(chooseCandidate([leaving])).toBeUndefined();
     expect(chooseCandidate([leaving, staying])).toBeUndefined();
     expect(chooseCandidate([{ ...leaving, received: staying.received }, staying])).toBe(staying);
@@ -103,7 +107,12 @@
       { ...started, term: 3 },
       'unknown',
     ],
-    ['is unknown if the start of the next term is', { term: 1, index: 3 }, undefined, 'unknown'],
+    [
+      'is unknown if the origin of the next term is unknown',
+      { term: 1, index: 3 },
+      undefined,
+      'unknown',
+    ],
   ])('%s', (_, position, origin, outcome) => {
     expect(settleWrite(position, origin)).toBe(outcome);
   });
@@ -119,8 +128,8 @@
   });
 
   it('ends with a suspension, during which the monotonic clock stops', () => {
-    // A holder suspended between claim and order took its claim for valid and sent the order with an
-    // outdated token, after another instance had taken over.
+    // Guards against an instance whose machine was suspended between claim and command, and which
+    // sends the command with an outdated token after another instance has taken over.
     expect(isClaimValid(claimed, { steady: 1_010, wall: 904_010 })).toBe(false);
   });
 });
--- a/packages/pooling/src/test/routing.test.ts
+++ b/packages/pooling/src/test/routing.test.ts
@@ -27,16 +27,17 @@
   });
 
   it('allows one probe at a time once the estimate has expired', () => {
-    // Without probes, replicas that had caught up received no reads and were still considered lagging.
+    // Guards against a replica that has caught up but receives no reads, since only reads update its
+    // estimate.
     const lag = createLaggingReplica();
-    const seen = [lag.mayBeTried(1_300), lag.mayBeTried(1_600)];
+    const results = [lag.mayBeTried(1_300), lag.mayBeTried(1_600)];
     lag.beginTrial();
-    seen.push(lag.mayBeTried(1_600));
+    results.push(lag.mayBeTried(1_600));
     lag.endTrial();
-    seen.push(lag.mayBeTried(1_600));
+    results.push(lag.mayBeTried(1_600));
     lag.observe({ ...observed, now: 1_650 });
-    seen.push(lag.mayBeTried(1_700));
-    expect(seen).toEqual([false, true, false, true, false]);
+    results.push(lag.mayBeTried(1_700));
+    expect(results).toEqual([false, true, false, true, false]);
   });
 
   it('describes the last lag and its age', () => {
