--- a/packages/schema/src/index.ts
+++ b/packages/schema/src/index.ts
@@ -44,7 +44,7 @@
 } from './lib/configuration/configurationObject';
 export { instanceSchema, instanceStateSchema, type Instance } from './lib/instance/instance';
 export { settingsSchema, type Settings } from './lib/settings/settings';
-export { SettingsError, parseSettings, type SettingsFault } from './lib/settings/parseSettings';
+export { SettingsError, parseSettings, type SettingsIssue } from './lib/settings/parseSettings';
 export {
   notRunReasonSchema,
   outcomeSchema,
--- a/packages/schema/src/lib/configuration/configuration.ts
+++ b/packages/schema/src/lib/configuration/configuration.ts
@@ -40,7 +40,7 @@
   groups: z.array(nameSchema).min(1),
   /** Maximum concurrent connections of this caller per instance. */
   connectionLimit: z.number().int().min(1).max(1_000_000).default(1_000),
-  /** Weight relative to other callers when a queue is full. */
+  /** Relative share of the service of queued requests, and of the places in a full queue. */
   weight: z.number().int().min(1).max(100).default(1),
 });
 
@@ -53,7 +53,7 @@
   maximumStalenessMilliseconds: z.number().int().min(0).max(86_400_000).default(0),
   /** Time from arrival within which the request must be answered. */
   deadlineMilliseconds: z.number().int().min(1).max(600_000).default(5_000),
-  /** Requests with a higher priority are served first when a queue is full. */
+  /** Among the queued requests of one caller, those with a larger number are served first. */
   priority: z.number().int().min(0).max(9).default(5),
   /** A request that is not repeatable is sent to a database at most once. */
   isRepeatable: z.boolean().default(true),
@@ -62,14 +62,14 @@
 /** @public */
 export type RequestKind = z.infer<typeof requestKindSchema>;
 
-/** A service level objective that the burn report measures. @public */
+/** A service level objective that the error budget report measures. @public */
 export const serviceLevelSchema = z.strictObject({
   name: nameSchema,
   group: nameSchema,
   kind: nameSchema,
   /** Fraction of requests that must be good, for example 0.999. */
   objective: z.number().min(0.5).max(0.999_999),
-  /** A request is good if it is answered within this time and without an error of the system. */
+  /** A request is good if it is answered within this time and without a system error. */
   latencyMilliseconds: z.number().int().min(1).max(600_000),
 });
 
@@ -100,7 +100,7 @@
 /** @public */
 export type Configuration = z.infer<typeof configurationSchema>;
 
-type ReportFault = (path: (string | number)[], message: string) => void;
+type ReportIssue = (path: (string | number)[], message: string) => void;
 
 interface ConfigurationReferences {
   groups: Record<string, UpstreamGroup>;
@@ -109,31 +109,31 @@
   serviceLevels: ServiceLevel[];
 }
 
-function checkReferences(configuration: ConfigurationReferences, reportFault: ReportFault): void {
+function checkReferences(configuration: ConfigurationReferences, reportIssue: ReportIssue): void {
   Object.entries(configuration.groups).forEach(([group, { databases }]) => {
-    checkDatabaseNames(group, databases, reportFault);
+    checkDatabaseNames(group, databases, reportIssue);
   });
   Object.entries(configuration.callers).forEach(([caller, { groups }]) => {
     groups.forEach((group, index) => {
       if (group in configuration.groups) return;
-      reportFault(['callers', caller, 'groups', index], `no group is named "${group}"`);
+      reportIssue(['callers', caller, 'groups', index], `no group is named "${group}"`);
     });
   });
   configuration.serviceLevels.forEach((level, index) => {
     if (!(level.group in configuration.groups)) {
-      reportFault(['serviceLevels', index, 'group'], `no group is named "${level.group}"`);
+      reportIssue(['serviceLevels', index, 'group'], `no group is named "${level.group}"`);
     }
     if (level.kind !== DEFAULT_KIND && !(level.kind in configuration.kinds)) {
-      reportFault(['serviceLevels', index, 'kind'], `no kind is named "${level.kind}"`);
+      reportIssue(['serviceLevels', index, 'kind'], `no kind is named "${level.kind}"`);
     }
   });
 }
 
-function checkDatabaseNames(group: string, databases: Database[], reportFault: ReportFault): void {
+function checkDatabaseNames(group: string, databases: Database[], reportIssue: ReportIssue): void {
   const names = new Set<string>();
   databases.forEach(({ name }, index) => {
     if (names.has(name)) {
-      reportFault(['groups', group, 'databases', index, 'name'], `"${name}" is used twice`);
+      reportIssue(['groups', group, 'databases', index, 'name'], `"${name}" is used twice`);
     }
     names.add(name);
   });
--- a/packages/schema/src/lib/group/memberStatus.ts
+++ b/packages/schema/src/lib/group/memberStatus.ts
@@ -21,7 +21,7 @@
 export type MemberRole = z.infer<typeof memberRoleSchema>;
 
 /**
- * Answer of a database to a status request.
+ * Answer of a database to a status request, as parsed from its JSON.
  *
  * A member at `currentTerm` refuses log entries and writes of lower terms. `logEnd` is the last
  * entry in its log, `applied` the last one that its reads show.
@@ -34,7 +34,10 @@
   currentTerm: z.number().int().nonnegative(),
   logEnd: positionSchema,
   applied: positionSchema,
-  /** In ascending order of terms; entry `index` belongs to the last term that starts below it. */
+  /**
+   * In ascending order of terms. An entry belongs to the last listed term whose `start` is lower than
+   * the index of the entry.
+   */
   termStarts: z.array(termStartSchema),
   /** Member that this one replicates from; absent on a primary or an unattached member. */
   following: z.string().optional(),
--- a/packages/schema/src/lib/position/position.ts
+++ b/packages/schema/src/lib/position/position.ts
@@ -40,7 +40,7 @@
   return comparePositions(left, right) >= 0 ? left : right;
 }
 
-/** Formats a position as `term:index`, as in the databases' session tracking. @public */
+/** Formats a position as `term:index`, the format that databases report in MySQL session tracking. @public */
 export function formatPosition(position: Position): string {
   return `${position.term}:${position.index}`;
 }
--- a/packages/schema/src/lib/settings/parseSettings.ts
+++ b/packages/schema/src/lib/settings/parseSettings.ts
@@ -4,23 +4,23 @@
 import type { Settings } from './settings';
 
 /** An invalid entry of a settings file. @public */
-export interface SettingsFault {
+export interface SettingsIssue {
   /** Dotted path of the key; empty if the file as a whole is invalid. */
   key: string;
   reason: string;
 }
 
-/** Thrown for an invalid settings file; lists every fault. @public */
+/** Thrown for an invalid settings file; lists every issue. @public */
 export class SettingsError extends Error {
   readonly file: string;
 
-  readonly faults: readonly SettingsFault[];
+  readonly faults: readonly SettingsIssue[];
 
-  constructor(file: string, faults: readonly SettingsFault[]) {
-    super(faults.map(({ key, reason }) => `${file}: ${key || '(file)'}: ${reason}`).join('\n'));
+  constructor(file: string, issues: readonly SettingsIssue[]) {
+    super(issues.map(({ key, reason }) => `${file}: ${key || '(file)'}: ${reason}`).join('\n'));
     this.name = 'SettingsError';
     this.file = file;
-    this.faults = faults;
+    this.faults = issues;
   }
 }
 
@@ -29,7 +29,7 @@
  *
  * @param options.file - file name for messages; the file is not read.
  * @param options.text - content in TOML.
- * @throws SettingsError with every fault found.
+ * @throws SettingsError with every issue found.
  * @public
  */
 export function parseSettings(options: { file: string; text: string }): Settings {
@@ -49,8 +49,8 @@
   }
 }
 
-/** Converts a validation issue to faults, one for each unknown key. */
-function describeIssue(issue: z.core.$ZodIssue): SettingsFault[] {
+/** Converts a validation issue to settings issues, one for each unknown key. */
+function describeIssue(issue: z.core.$ZodIssue): SettingsIssue[] {
   const path = issue.path.join('.');
   if (issue.code === 'unrecognized_keys') {
     return issue.keys.map((key) => ({
--- a/packages/schema/src/lib/settings/settings.ts
+++ b/packages/schema/src/lib/settings/settings.ts
@@ -48,7 +48,7 @@
   }),
   limits: z
     .strictObject({
-      /** Maximum number of requests queued for a database of one group. */
+      /** Maximum length of each request queue of a group; reads and writes queue separately. */
       queueLength: z.number().int().min(1).max(1_000_000).default(1_000),
       /** Maximum size of a packet accepted from a caller. */
       maximumPacketBytes: z.number().int().min(1_024).max(1_073_741_824).default(16_777_216),
@@ -60,9 +60,12 @@
     .prefault({}),
   failover: z
     .strictObject({
-      /** Interval between status requests to a member while no request is waiting. */
+      /**
+       * Interval between status requests to a member of a group that is in use or not healthy, while
+       * no caller's request waits for an answer.
+       */
       probeIntervalMilliseconds: z.number().int().min(10).max(60_000).default(100),
-      /** The same for a healthy group without requests. */
+      /** Interval between status requests to a member of a healthy group without recent requests. */
       idleProbeIntervalMilliseconds: z.number().int().min(10).max(60_000).default(1_000),
       /** Time without an answer after which a member is suspected to have failed. */
       suspicionMilliseconds: z.number().int().min(20).max(60_000).default(400),
