--- a/packages/pooling/src/lib/replication/positionHistory.ts
+++ b/packages/pooling/src/lib/replication/positionHistory.ts
@@ -18,11 +18,11 @@
   clear: () => void;
 }
 
-/** Samples taken within this interval of the previous one are dropped. */
-const SAMPLE_INTERVAL_MILLISECONDS = 20;
+/** Minimum time between two samples; samples in between are dropped. */
+const SAMPLE_GAP_MILLISECONDS = 20;
 
 /**
- * Covers at least 8 s at the interval above. Reads that accept older data get the oldest retained
+ * Covers at least 8 s at the gap above. Reads that accept older data get the oldest retained
  * sample, which is stricter than they need.
  */
 const MAXIMUM_SAMPLES = 400;
@@ -34,7 +34,7 @@
     add: ({ askedAt, term, position }) => {
       const last = samples.at(-1);
       if (last && last.term > term) return;
-      if (last?.term === term && askedAt < last.askedAt + SAMPLE_INTERVAL_MILLISECONDS) return;
+      if (last?.term === term && askedAt < last.askedAt + SAMPLE_GAP_MILLISECONDS) return;
       if (last && last.term < term) samples = [];
       samples.push({ askedAt, term, position });
       if (samples.length > MAXIMUM_SAMPLES) samples.shift();
