--- /dev/null
+++ b/packages/pooling/src/test/replicationTracker.test.ts
@@ -0,0 +1,207 @@
+import { describe, expect, it } from 'vitest';
+import type { Position } from '@wisterialift/schema';
+import { createGroupEvidence } from '../index';
+import type { ConfirmationResult, EvidenceWait, GroupEvidence, Observation } from '../index';
+
+/** Observes an answer to a request sent after all earlier ones. */
+function observe(tracker: GroupEvidence, seen: Partial<Observation> & { memberId: string }): void {
+  const { term = 1, position = { term, index: 1 } } = seen;
+  tracker.observe({
+    askedSequence: tracker.nextSequence(),
+    askedAt: 0,
+    isPrimary: false,
+    applied: position,
+    ...seen,
+    position,
+    term,
+  });
+}
+
+async function getResult(wait: EvidenceWait): Promise<ConfirmationResult | 'pending'> {
+  return Promise.race([wait.verdict, Promise.resolve().then(() => 'pending' as const)]);
+}
+
+const MEMBERS = ['a', 'b', 'c'];
+
+/** Waits until a replica has received a commit of the primary `a`. */
+function waitForCopy(tracker: GroupEvidence, position: Position, members = MEMBERS): EvidenceWait {
+  return tracker.waitForCopy({ position, primaryId: 'a', memberIds: () => members });
+}
+
+describe('confirming a commit', () => {
+  const position = { term: 1, index: 5 };
+
+  it.each([
+    [
+      'stays pending for a replica with a lower position',
+      { memberId: 'b', position: { term: 1, index: 4 } },
+      'pending',
+    ],
+    [
+      'stays pending for the primary itself',
+      { memberId: 'a', position, isPrimary: true },
+      'pending',
+    ],
+    [
+      'is confirmed by a replica that has received the position',
+      { memberId: 'b', position },
+      { type: 'proved' },
+    ],
+    [
+      'is superseded by a member of a later term, whatever its position',
+      { memberId: 'b', term: 2, position: { term: 2, index: 9 } },
+      { type: 'superseded', term: 2 },
+    ],
+  ])('%s', async (_, seen, expected) => {
+    const tracker = createGroupEvidence();
+    const wait = waitForCopy(tracker, position);
+    observe(tracker, seen);
+    expect(await getResult(wait)).toEqual(expected);
+  });
+
+  it('counts observations from before the wait', async () => {
+    const tracker = createGroupEvidence();
+    observe(tracker, { memberId: 'b', position });
+    expect(await getResult(waitForCopy(tracker, position))).toEqual({
+      type: 'proved',
+    });
+  });
+});
+
+describe('confirming the first commit of a term', () => {
+  const position = { term: 2, index: 57 };
+
+  it('stays pending until a replica that has received it has applied the term', async () => {
+    // Guards against an outdated read: a replica that confirms a commit with an unapplied entry could
+    // then confirm a read of the replaced primary in the former term.
+    const tracker = createGroupEvidence();
+    const applied = { term: 1, index: 55 };
+    const wait = waitForCopy(tracker, position);
+    observe(tracker, { memberId: 'b', term: 2, position, applied });
+    expect(await getResult(wait)).toBe('pending');
+    observe(tracker, { memberId: 'b', term: 2, position: { term: 2, index: 56 } });
+    expect(await getResult(wait)).toEqual({ type: 'proved' });
+  });
+
+  it('stays pending until a second replica of a group of four has applied the term', async () => {
+    // Guards against an outdated read: one replica confirms the commit while another one, which lags,
+    // confirms a read of the replaced primary.
+    const tracker = createGroupEvidence();
+    const wait = waitForCopy(tracker, position, ['a', 'b', 'c', 'd']);
+    observe(tracker, { memberId: 'b', term: 2, position });
+    expect(await getResult(wait)).toBe('pending');
+    observe(tracker, { memberId: 'c', term: 2, position: { term: 2, index: 1 } });
+    expect(await getResult(wait)).toEqual({ type: 'proved' });
+  });
+
+  it('does not count a removed member', async () => {
+    const tracker = createGroupEvidence();
+    observe(tracker, { memberId: 'b', term: 2, position });
+    tracker.forgetMember('b');
+    expect(await getResult(waitForCopy(tracker, position))).toBe('pending');
+  });
+});
+
+describe('confirming a read', () => {
+  it('counts only answers to requests sent after the read arrived', async () => {
+    // Guards against an outdated read that is confirmed by an answer requested before the primary was
+    // replaced and a write was acknowledged, both before the read arrived.
+    const tracker = createGroupEvidence();
+    const askedSequence = tracker.nextSequence();
+    const sequence = tracker.nextSequence();
+    const wait = tracker.waitForTerm({ term: 1, sequence, primaryId: 'a' });
+    observe(tracker, { memberId: 'b', askedSequence });
+    expect(await getResult(wait)).toBe('pending');
+    observe(tracker, { memberId: 'b' });
+    expect(await getResult(wait)).toEqual({ type: 'proved' });
+  });
+
+  it('is superseded by a member of a later term', async () => {
+    const tracker = createGroupEvidence();
+    const wait = tracker.waitForTerm({ term: 1, sequence: 0, primaryId: 'a' });
+    observe(tracker, { memberId: 'c', term: 3 });
+    expect(await getResult(wait)).toEqual({ type: 'superseded', term: 3 });
+  });
+
+  it('removes a cancelled wait', () => {
+    const tracker = createGroupEvidence();
+    tracker.waitForTerm({ term: 1, sequence: 0, primaryId: 'a' }).cancel();
+    expect(tracker.hasPendingWaits()).toBe(false);
+  });
+});
+
+describe('the minimum position of a read with bounded staleness', () => {
+  const sample = (tracker: GroupEvidence, askedAt: number, index: number, term = 1) =>
+    observe(tracker, {
+      memberId: 'a',
+      askedAt,
+      isPrimary: true,
+      term,
+      position: { term, index },
+    });
+
+  it('is the oldest position of the primary within the maximum age', () => {
+    const tracker = createGroupEvidence();
+    [100, 600, 1_100].forEach((askedAt, index) => sample(tracker, askedAt, index + 1));
+    const minimumIndexAt = (now: number) =>
+      tracker.findFloor({ now, maximumAge: 500 })?.position.index;
+    expect([600, 601, 1_100, 1_601].map(minimumIndexAt)).toEqual([1, 2, 2, undefined]);
+  });
+
+  it('ignores samples of earlier terms', () => {
+    const tracker = createGroupEvidence();
+    sample(tracker, 100, 7);
+    observe(tracker, { memberId: 'b', term: 2 });
+    expect(tracker.findFloor({ now: 200, maximumAge: 500 })).toBeUndefined();
+    sample(tracker, 150, 8, 2);
+    expect(tracker.findFloor({ now: 200, maximumAge: 500 })?.position).toEqual({
+      term: 2,
+      index: 8,
+    });
+  });
+
+  it('is undefined after the samples were cleared', () => {
+    const tracker = createGroupEvidence();
+    sample(tracker, 100, 7);
+    tracker.forgetAges();
+    expect(tracker.findFloor({ now: 100, maximumAge: 500 })).toBeUndefined();
+  });
+});
+
+describe('a restarted member', () => {
+  const position = { term: 1, index: 5 };
+
+  it('confirms nothing with positions received before the restart', async () => {
+    // Guards against acknowledging a commit because of a replica that lost its log in a restart.
+    const tracker = createGroupEvidence();
+    observe(tracker, { memberId: 'b', position });
+    tracker.restartMember('b', { trustedFrom: 0 });
+    expect(await getResult(waitForCopy(tracker, position))).toBe('pending');
+  });
+
+  it('counts no answer requested before a promotion may have ended', async () => {
+    // Guards against a lost write: a replica that restarts after a promotion has read its log may
+    // receive a commit from the old primary and confirm it.
+    const tracker = createGroupEvidence();
+    tracker.restartMember('b', { trustedFrom: 3_000 });
+    const wait = waitForCopy(tracker, position);
+    const results = [];
+    observe(tracker, { memberId: 'b', position, askedAt: 2_900 });
+    results.push(await getResult(wait));
+    observe(tracker, { memberId: 'b', position, askedAt: 3_100 });
+    results.push(await getResult(wait));
+    expect(results).toEqual(['pending', { type: 'proved' }]);
+  });
+
+  it('still reports a later term, and log ends as its primary', async () => {
+    const tracker = createGroupEvidence();
+    tracker.restartMember('b', { trustedFrom: 3_000 });
+    const later = { term: 2, index: 7 };
+    observe(tracker, { memberId: 'b', term: 2, position: later, askedAt: 100, isPrimary: true });
+    expect(await getResult(waitForCopy(tracker, position))).toEqual({
+      type: 'superseded',
+      term: 2,
+    });
+    expect(tracker.findFloor({ now: 200, maximumAge: 500 })?.position).toEqual(later);
+  });
+});
--- a/packages/schema/src/lib/settings/parseSettings.ts
+++ b/packages/schema/src/lib/settings/parseSettings.ts
@@ -3,33 +3,33 @@
 import { settingsSchema } from './settings';
 import type { Settings } from './settings';
 
-/** One fault of a settings file: where it is and what would be accepted. @public */
-export interface SettingsFault {
-  /** Dotted path of the key; empty where the file as a whole is at fault. */
+/** An invalid entry of a settings file. @public */
+export interface SettingsIssue {
+  /** Dotted path of the key; empty if the file as a whole is invalid. */
   key: string;
   reason: string;
 }
 
-/** Thrown for a settings file that cannot be used; lists every fault. @public */
+/** Thrown for an invalid settings file; lists every issue. @public */
 export class SettingsError extends Error {
   readonly file: string;
 
-  readonly faults: readonly SettingsFault[];
+  readonly faults: readonly SettingsIssue[];
 
-  constructor(file: string, faults: readonly SettingsFault[]) {
-    super(faults.map(({ key, reason }) => `${file}: ${key || '(file)'}: ${reason}`).join('\n'));
+  constructor(file: string, issues: readonly SettingsIssue[]) {
+    super(issues.map(({ key, reason }) => `${file}: ${key || '(file)'}: ${reason}`).join('\n'));
     this.name = 'SettingsError';
     this.file = file;
-    this.faults = faults;
+    this.faults = issues;
   }
 }
 
 /**
- * Parses and checks the text of a settings file.
+ * Parses and validates the text of a settings file.
  *
- * @param options.file - name for messages; nothing is read here.
+ * @param options.file - file name for messages; the file is not read.
  * @param options.text - content in TOML.
- * @throws SettingsError with every fault that was found.
+ * @throws SettingsError with every issue found.
  * @public
  */
 export function parseSettings(options: { file: string; text: string }): Settings {
@@ -49,8 +49,8 @@
   }
 }
 
-/** Turns one issue of the validator into faults, one for each unknown key. */
-function describeIssue(issue: z.core.$ZodIssue): SettingsFault[] {
+/** Converts a validation issue to settings issues, one for each unknown key. */
+function describeIssue(issue: z.core.$ZodIssue): SettingsIssue[] {
   const path = issue.path.join('.');
   if (issue.code === 'unrecognized_keys') {
     return issue.keys.map((key) => ({
