--- a/packages/gateway/src/lib/groups/attempt.ts
+++ b/packages/gateway/src/lib/groups/attemptCommand.ts
@@ -1,90 +1,86 @@
 import type { UpstreamAnswer, UpstreamCommand } from '@wisterialift/pooling';
 import { NoConnectionError } from '../errors/noConnectionError';
 import { settleWithin } from '../timing/withinTime';
-import { markAsked, noteLeaving, observeAnswer } from './groupContext';
+import { createEventStamp, logLeavingUse, observeAnswer } from './groupContext';
 import type { AskedAt, GroupContext } from './groupContext';
-import { avoidMember } from './member';
+import { backOffFromMember } from './member';
 import type { Member } from './member';
 import type { StatementRequest } from './statementRequest';
 import { prepareConnection } from './upstreamPool';
 import type { PooledConnection } from './upstreamPool';
 
-/**
- * Why nothing was sent: no connection in time, no turn in time, no turn yet, no answer to a new
- * connection, a connection that could not be prepared, or a member that has left its bound behind.
- */
+/** Why a command was not sent. */
 export type NotSentCause =
   'noConnection' | 'noCapacity' | 'notYet' | 'unreachable' | 'refused' | 'leaving';
 
 /** How one attempt at a member ended. */
 export type AttemptOutcome =
-  | { type: 'answered'; answer: UpstreamAnswer; asked: AskedAt; connection: PooledConnection }
-  /** Nothing was sent. */
+  | { type: 'answered'; answer: UpstreamAnswer; sentStamp: AskedAt; connection: PooledConnection }
+  /** The command was not sent. */
   | { type: 'notSent'; cause: NotSentCause }
-  /** It was sent, and no whole answer came. */
+  /** The command was sent, but no complete answer arrived. */
   | { type: 'lost'; cause: 'timeout' | 'broken' };
 
 export interface AttemptOptions {
   request: StatementRequest;
   command: UpstreamCommand;
   deadlineAt: number;
-  /** Milliseconds to wait for a turn before the statement would rather look elsewhere. */
-  patience?: number;
+  /** Milliseconds to wait for admission before reporting `notYet`; unlimited if omitted. */
+  queueTimeout?: number;
 }
 
 /**
- * Runs one command of a caller at a member.
+ * Runs one command at a member.
  *
- * The connection of an answered attempt belongs to the caller of this function; any other is closed
- * or back in the pool.
+ * If the outcome is `answered`, the caller of this function must release the connection.
  */
-export async function attempt(
+export async function attemptCommand(
   context: GroupContext,
   member: Member,
   options: AttemptOptions,
 ): Promise<AttemptOutcome> {
-  const { request, command, patience } = options;
+  const { request, command, queueTimeout } = options;
   const { gate } = member;
-  const deadlineAt = context.leaving.sendBy(member, options.deadlineAt);
+  const deadlineAt = context.leaving.limitDeadline(member, options.deadlineAt);
   const takesSlot = command.type !== 'begin';
-  const placedAt = context.clock.now();
+  const queuedAt = context.clock.now();
   const { priority, goal } = request.route;
-  const passage = { priority, goal, arrivedAt: request.arrived.at, deadlineAt, patience };
-  const admission = takesSlot ? await gate.enter(passage) : 'admitted';
+  const gateRequest = { priority, goal, arrivedAt: request.arrived.at, deadlineAt, queueTimeout };
+  const admission = takesSlot ? await gate.enter(gateRequest) : 'admitted';
   if (admission !== 'admitted') {
     return { type: 'notSent', cause: admission === 'notYet' ? 'notYet' : 'noCapacity' };
   }
   try {
-    return await attemptNow(context, member, { ...options, placedAt });
+    return await attemptAdmitted(context, member, { ...options, queuedAt });
   } finally {
-    if (takesSlot) gate.leave(passage);
+    if (takesSlot) gate.leave(gateRequest);
   }
 }
 
-async function attemptNow(
+async function attemptAdmitted(
   context: GroupContext,
   member: Member,
-  options: AttemptOptions & { placedAt: number },
+  options: AttemptOptions & { queuedAt: number },
 ): Promise<AttemptOutcome> {
-  const { request, command, deadlineAt, placedAt } = options;
-  const sendBy = context.leaving.sendBy(member, deadlineAt);
-  const acquired = await acquireConnection(context, member, request, sendBy);
+  const { request, command, deadlineAt, queuedAt } = options;
+  const sendDeadlineAt = context.leaving.limitDeadline(member, deadlineAt);
+  const acquired = await acquireConnection(context, member, request, sendDeadlineAt);
   if ('type' in acquired) return acquired;
-  // It may have waited since it was placed, and the member's bound may have passed meanwhile.
-  if (!context.leaving.mayTake(member)) {
+  // The member may have reached its leaving time limit while the command was queued.
+  if (!context.leaving.canAccept(member)) {
     member.pool.release(acquired);
     return { type: 'notSent', cause: 'leaving' };
   }
-  if (command.type !== 'begin') noteLeaving(context, member, { requestId: request.id, placedAt });
-  const asked = markAsked(context);
-  const outcome = await runWithin(context, { connection: acquired, command, deadlineAt });
-  if (command.type !== 'begin') recordLatency(context, member, asked, outcome);
+  if (command.type !== 'begin') logLeavingUse(context, member, { requestId: request.id, queuedAt });
+  const sentStamp = createEventStamp(context);
+  const outcome = await runWithDeadline(context, { connection: acquired, command, deadlineAt });
+  if (command.type !== 'begin') recordLatency(context, member, sentStamp, outcome);
   if (outcome.type === 'lost') {
     member.pool.discard(acquired);
     return outcome;
   }
-  observeAnswer(context, member, asked, outcome.answer);
-  return { ...outcome, asked, connection: acquired };
+  observeAnswer(context, member, sentStamp, outcome.answer);
+  return { ...outcome, sentStamp, connection: acquired };
 }
 
 async function acquireConnection(
@@ -100,7 +96,7 @@
     connection = await member.pool.acquire({ session, deadlineAt, priority });
   } catch (error) {
     if (error instanceof NoConnectionError) return { type: 'notSent', cause: 'noConnection' };
-    avoidMember(member, context.clock.now());
+    backOffFromMember(member, context.clock.now());
     return { type: 'notSent', cause: 'unreachable' };
   }
   const preparation = prepareConnection(connection, session, request.prepared?.statement);
@@ -115,24 +111,23 @@
 }
 
 /**
- * Learns the time that a member takes, the way and its own queue included.
+ * Records the response time of a member, including network and its own queue.
  *
- * The wait for a place is left out. With it, a member whose connections were taken for a second looked
- * slow for seconds afterwards, and reads queued at others while it had nothing to do.
+ * Excludes the wait for a connection: a brief shortage would divert reads from an idle member.
  */
 export function recordLatency(
   { clock }: GroupContext,
   member: Member,
-  asked: AskedAt,
+  sentStamp: AskedAt,
   outcome: { type: 'answered'; answer: UpstreamAnswer } | { type: 'lost' },
 ): void {
-  const isRun = outcome.type === 'lost' || outcome.answer.outcome === 'completed';
-  if (!isRun) return;
-  member.latency.record(clock.now() - asked.at, clock.now());
+  const hasExecuted = outcome.type === 'lost' || outcome.answer.outcome === 'completed';
+  if (!hasExecuted) return;
+  member.latency.record(clock.now() - sentStamp.at, clock.now());
 }
 
-/** Runs a command, giving up on its answer at the deadline. */
-export async function runWithin(
+/** Runs a command and stops waiting for its answer at the deadline. */
+export async function runWithDeadline(
   context: GroupContext,
   options: { connection: PooledConnection; command: UpstreamCommand; deadlineAt: number },
 ): Promise<
@@ -140,7 +135,7 @@
 > {
   const { connection, command, deadlineAt } = options;
   const { clock } = context;
-  const running = connection.link.run(command);
+  const running = connection.upstream.run(command);
   const settled = await settleWithin(clock, running, deadlineAt - clock.now());
   if (settled.type === 'value') return { type: 'answered', answer: settled.value };
   return { type: 'lost', cause: settled.type === 'timeout' ? 'timeout' : 'broken' };
--- a/packages/gateway/src/lib/groups/groupAccess.ts
+++ b/packages/gateway/src/lib/groups/groupAccess.ts
@@ -2,7 +2,7 @@
 import type { AskedAt } from './groupContext';
 import type { StatementRequest } from './statementRequest';
 
-/** Serves the statements of a group's callers, over this instance's connections or another's. */
+/** Runs statements on a group, through connections of this instance or of another one. */
 export interface GroupAccess {
   /** Runs a read outside of a transaction. */
   read: (request: StatementRequest) => Promise<UpstreamAnswer>;
@@ -18,14 +18,14 @@
 
 export interface OpenOptions {
   isReadOnly: boolean;
-  /** When the caller began it; what it reads must not be older. */
+  /** When the caller began the transaction; its reads must be at least this current. */
   began: AskedAt;
 }
 
-/** A caller's transaction on one connection of one member. */
+/** A transaction on one connection to one member. */
 export interface Transaction {
   run: (request: StatementRequest) => Promise<UpstreamAnswer>;
   commit: (request: StatementRequest) => Promise<UpstreamAnswer>;
-  /** Ends it without keeping anything; the connection is back in the pool afterwards. */
+  /** Rolls the transaction back and returns its connection to the pool. */
   rollBack: () => void;
 }
--- a/packages/gateway/src/lib/groups/groupContext.ts
+++ b/packages/gateway/src/lib/groups/groupContext.ts
@@ -4,30 +4,30 @@
 import type { UsesMechanism } from '../mechanisms';
 import type { Clock } from '../ports/clock';
 import type { UpstreamDriver } from '../ports/upstreamPort';
-import type { LeavingMembers } from './leavingMembers';
-import { describeLeaving } from './member';
+import type { LeavingMemberPolicy } from './leavingMemberPolicy';
+import { describeLeavingTime } from './member';
 import type { Member } from './member';
-import type { PrimaryBelief } from './primaryBelief';
+import type { PrimaryTracker } from './primaryTracker';
 
-/** What the parts of a group's task share. */
+/** State and services shared by the components of a group. */
 export interface GroupContext {
   group: string;
   members: Map<string, Member>;
   evidence: GroupEvidence;
-  belief: PrimaryBelief;
+  belief: PrimaryTracker;
   clock: Clock;
   logger: Logger;
   driver: UpstreamDriver;
-  /** Something speaks against the primary; the promotion task looks into it. */
+  /** Reports a suspected failure of the primary to the promotion task. */
   suspectPrimary: (cause: SuspicionCause, member: Member | undefined) => void;
   counters: GroupCounters;
-  leaving: LeavingMembers;
+  leaving: LeavingMemberPolicy;
   uses: UsesMechanism;
-  /** Uniform in [0, 1). */
+  /** Returns a uniformly distributed number in [0, 1). */
   random: () => number;
 }
 
-/** Why the primary is looked at. */
+/** Why the primary is suspected. */
 export type SuspicionCause = 'unreachable' | 'silent' | 'absent' | 'leaving' | 'unconfirmed';
 
 export interface GroupCounters {
@@ -36,31 +36,31 @@
   refusals: number;
   promotions: number;
   relayed: number;
-  /** Reads that were refused with time left while a member could have run them at once. */
+  /** Reads refused before their deadline while a member was idle. */
   refusedBesideIdle: number;
-  /** Reads outside of transactions that a replica answered. */
+  /** Reads outside transactions answered by a replica. */
   replicaReads: number;
-  /** Such reads that the primary answered. */
+  /** Reads outside transactions answered by the primary. */
   primaryReads: number;
-  /** Statements that were sent to a member that leaves. */
+  /** Statements sent to a leaving member. */
   sentToLeaving: number;
 }
 
-/** When a question was sent, for the evidence in its answer. */
+/** Sequence number and time of an event, used to order it relative to observations. */
 export interface AskedAt {
   sequence: number;
   at: number;
 }
 
-export function markAsked({ evidence, clock }: GroupContext): AskedAt {
+export function createEventStamp({ evidence, clock }: GroupContext): AskedAt {
   return { sequence: evidence.nextSequence(), at: clock.now() };
 }
 
-/** Notes a statement of a caller that is about to be sent to a member, if the member leaves. */
-export function noteLeaving(
+/** Counts and logs a statement that is about to be sent, if the member is leaving. */
+export function logLeavingUse(
   context: GroupContext,
   { entry }: Member,
-  sent: { requestId: string; placedAt: number },
+  sent: { requestId: string; queuedAt: number },
 ): void {
   const { clock, counters, group, logger } = context;
   if (!entry.leavingSince) return;
@@ -69,61 +69,61 @@
     group,
     memberId: entry.memberId,
     requestId: sent.requestId,
-    waitedMilliseconds: Math.round(clock.now() - sent.placedAt),
-    ...describeLeaving(entry.leavingSince, clock.readings()),
+    waitedMilliseconds: Math.round(clock.now() - sent.queuedAt),
+    ...describeLeavingTime(entry.leavingSince, clock.readings()),
   });
 }
 
-/** Records what an answer proves of the member that gave it. */
+/** Records the log position that a member's answer shows. */
 export function observeAnswer(
   context: GroupContext,
   member: Member,
-  asked: AskedAt,
+  sentStamp: AskedAt,
   { position }: UpstreamAnswer,
 ): void {
   const { evidence, belief, clock } = context;
   const { memberId } = member.entry;
   Object.assign(member, { answeredAt: clock.now(), failures: 0 });
   if (!position) return;
-  observeApplied(context, member, asked, position);
+  recordReplicaLag(context, member, sentStamp, position);
   evidence.observe({
     memberId,
-    askedSequence: asked.sequence,
-    askedAt: asked.at,
+    askedSequence: sentStamp.sequence,
+    askedAt: sentStamp.at,
     term: position.term,
     position,
     applied: position,
-    isPrimary: belief.isProved(memberId, position.term),
+    isPrimary: belief.isConfirmed(memberId, position.term),
   });
 }
 
-/** Records how far behind the primary a member's reads are. */
-function observeApplied(
+/** Records how far a member's applied log lags behind the primary. */
+function recordReplicaLag(
   { clock, evidence }: GroupContext,
   member: Member,
-  asked: AskedAt,
+  sentStamp: AskedAt,
   applied: Position,
 ): void {
   const passedAt = evidence.timeBeyond(applied);
-  const lag = passedAt === undefined ? 0 : Math.max(0, asked.at - passedAt);
+  const lag = passedAt === undefined ? 0 : Math.max(0, sentStamp.at - passedAt);
   member.lag.observe({ applied, lag, now: clock.now() });
 }
 
-/** Records what a member told of itself. */
+/** Records a member's status report. */
 export function observeReport(
   context: GroupContext,
   member: Member,
-  asked: AskedAt,
+  sentStamp: AskedAt,
   { report, applied }: { report: MemberReport; applied: Position },
 ): void {
   const { evidence, belief } = context;
   const { memberId } = member.entry;
-  if (report.isPrimary) belief.provePrimary(memberId, report.term);
-  observeApplied(context, member, asked, applied);
+  if (report.isPrimary) belief.confirmPrimary(memberId, report.term);
+  recordReplicaLag(context, member, sentStamp, applied);
   evidence.observe({
     memberId,
-    askedSequence: asked.sequence,
-    askedAt: asked.at,
+    askedSequence: sentStamp.sequence,
+    askedAt: sentStamp.at,
     term: report.term,
     position: report.received,
     applied,
--- a/packages/gateway/src/lib/groups/groupTask.ts
+++ b/packages/gateway/src/lib/groups/groupTask.ts
@@ -9,30 +9,30 @@
 import type { PromotionOrders, PromotionStore } from '../ports/platformPort';
 import type { UpstreamDriver } from '../ports/upstreamPort';
 import { createPromotionTask } from '../promotion/promotionTask';
-import { createFloorKeeper } from './floorKeeper';
-import { createEvidenceAsker } from './evidenceAsker';
-import { markAsked } from './groupContext';
+import { createReadPositionRefresher } from './readPositionRefresher';
+import { createEvidencePoller } from './evidencePoller';
+import { createEventStamp } from './groupContext';
 import type { GroupAccess } from './groupAccess';
 import type { GroupContext, GroupCounters } from './groupContext';
-import { createLeavingMembers } from './leavingMembers';
-import { avoidMember, createMember, describeLeaving } from './member';
+import { createLeavingMemberPolicy } from './leavingMemberPolicy';
+import { backOffFromMember, createMember, describeLeavingTime } from './member';
 import type { Member } from './member';
-import { createPrimaryBelief } from './primaryBelief';
-import { createPrimaryProof } from './primaryProof';
-import { createReadPath } from './readPath';
+import { createPrimaryTracker } from './primaryTracker';
+import { createPrimaryVerifier } from './primaryVerifier';
+import { createReadRouter } from './readRouter';
 import { toCommand } from './statementRequest';
 import type { StatementRequest } from './statementRequest';
 import { createTransactionOpener } from './transaction';
 import { createUpstreamPool } from './upstreamPool';
-import { createWritePath } from './writePath';
+import { createWriteRouter } from './writePath';
 
-/** Serves the statements of one group and keeps it with a primary. */
+/** Runs the statements of one group and promotes a new primary when necessary. */
 export interface GroupTask extends GroupAccess {
   updateMembers: (entries: KnownEntry[]) => void;
   updateLimits: (limits: GroupLimits) => void;
-  /** Whether a statement could be served now. */
+  /** Whether the group has members and a known primary. */
   isUsable: () => boolean;
-  /** Forgets what depends on the time that passed, after the process was suspended. */
+  /** Discards age-based observations after the process was suspended. */
   forgetAges: () => void;
   counters: GroupCounters;
   close: () => void;
@@ -48,52 +48,54 @@
   store: PromotionStore;
   orders: PromotionOrders;
   clock: Clock;
-  /** Uniform in [0, 1). */
+  /** Returns a uniformly distributed number in [0, 1). */
   random: () => number;
   logger: Logger;
   uses: UsesMechanism;
-  /** Whether this instance keeps connections to the members for itself or for others. */
+  /** Whether this instance keeps connections to the members, for itself or for other instances. */
   isHolder: () => boolean;
-  /** Instances that keep connections to the members, this one included. */
+  /** Number of instances that keep connections to the members, including this one. */
   countSharers: () => number;
-  /** Whether the list of instances is known; until then each takes itself for a holder. */
+  /** Whether the list of instances is known; until then each instance acts as a holder. */
   areInstancesKnown: () => boolean;
-  /** How long a member's entry may be missing before the member counts as gone, in milliseconds. */
+  /** Milliseconds for which a member's entry may be missing before the member is removed. */
   missingGrace: number;
-  /** Time after which a member that leaves may be reached by no new statement, in milliseconds. */
+  /** Milliseconds after which a leaving member is sent no new statements. */
   leavingBound: number;
 }
 
 /**
- * Part of a member's connections that one instance opens at the most. Callers spread unevenly over
- * the instances, so a fixed share would leave places unused.
+ * Largest part of a member's connections that one instance opens. It exceeds an even share because
+ * callers are distributed unevenly.
  */
-const LARGEST_CONNECTION_SHARE = 0.5;
+const MAXIMUM_CONNECTION_SHARE = 0.5;
 
 /**
- * Part of a member's connections that instances share evenly. The rest is for those with more callers
- * than others, and for all after a loss of power, when a member counts the dead ones for seconds.
+ * Part of a member's connections that instances share evenly. The rest covers uneven load and dead
+ * connections that a member still counts after an outage.
  */
-const SHARED_CONNECTION_SHARE = 0.6;
+const EVEN_CONNECTION_SHARE = 0.6;
 
-/** Fewer would let two open transactions stop all other statements. */
-const FEWEST_CONNECTIONS = 4;
+/** With fewer connections, two open transactions could block all other statements. */
+const MINIMUM_CONNECTIONS = 4;
 
-const UPKEEP_MILLISECONDS = 500;
+const MAINTENANCE_INTERVAL_MILLISECONDS = 500;
 
-/**
- * Time from the claim of a promoter until the promotion that it ordered has taken effect: until
- * another may take the claim over, and the second that members need at the most to lead.
- */
-const LONGEST_PROMOTION_MILLISECONDS = CLAIM_TAKEOVER_MILLISECONDS + 1_000;
+/** Validity of a promotion claim, plus up to a second until the promotion takes effect. */
+const MAXIMUM_PROMOTION_MILLISECONDS = CLAIM_TAKEOVER_MILLISECONDS + 1_000;
 
 export function createGroupTask(options: GroupTaskOptions): GroupTask {
   const { group, dataCentre, driver, clock, isHolder, countSharers, logger, missingGrace, uses } =
     options;
   const members = new Map<string, Member>();
   const evidence = createGroupEvidence();
-  const belief = createPrimaryBelief(members, clock);
-  const leaving = createLeavingMembers({ members, belief, clock, bound: options.leavingBound });
+  const primaryTracker = createPrimaryTracker(members, clock);
+  const leavingPolicy = createLeavingMemberPolicy({
+    members,
+    primaryTracker,
+    clock,
+    timeLimit: options.leavingBound,
+  });
   const counters: GroupCounters = {
     probes: 0,
     retries: 0,
@@ -112,34 +114,41 @@
     group,
     members,
     evidence,
-    belief,
+    belief: primaryTracker,
     clock,
     logger,
     driver,
     counters,
-    leaving,
+    leaving: leavingPolicy,
     uses,
     random: options.random,
     suspectPrimary: (cause, member) => onSuspicion(cause, member),
   };
   const promotion = createPromotionTask(context, options);
   onSuspicion = promotion.suspect;
-  const asker = createEvidenceAsker(context);
-  const proof = createPrimaryProof(context, asker);
-  const floors = createFloorKeeper(context);
-  const reads = createReadPath(context, { proof, floors });
-  const writes = createWritePath(context, {
-    proof,
+  const evidencePoller = createEvidencePoller(context);
+  const primaryVerifier = createPrimaryVerifier(context, evidencePoller);
+  const readPositions = createReadPositionRefresher(context);
+  const reads = createReadRouter(context, {
+    verifier: primaryVerifier,
+    readPositions,
+  });
+  const writes = createWriteRouter(context, {
+    primaryVerifier,
     readTermOrigin: (): Promise<TermOrigin | undefined> => promotion.readTermOrigin(),
   });
-  const transactions = createTransactionOpener(context, { reads, writes, proof });
-  const stopUpkeep = clock.every(UPKEEP_MILLISECONDS, upkeep);
+  const transactions = createTransactionOpener(context, {
+    reads,
+    writes,
+    primaryVerifier,
+  });
+  const stopMaintenance = clock.every(MAINTENANCE_INTERVAL_MILLISECONDS, runMaintenance);
 
   async function read(request: StatementRequest): Promise<UpstreamAnswer> {
-    const { answer, place } = await reads.place(request, (after) => toCommand(request, after));
-    if (place) {
-      place.member.pool.release(place.connection);
-      counters[place.isPrimary ? 'primaryReads' : 'replicaReads'] += 1;
+    const { answer, routed } = await reads.run(request, (after) => toCommand(request, after));
+    if (routed) {
+      routed.member.pool.release(routed.connection);
+      counters[routed.isPrimary ? 'primaryReads' : 'replicaReads'] += 1;
     }
     return answer;
   }
@@ -153,20 +162,17 @@
         member.missingSince = clock.now();
       }
     }
-    belief.notifyChange();
+    primaryTracker.notifyChange();
     reviewDirectory();
-    lookAhead();
+    prefetchReadPosition();
   }
 
-  /**
-   * Learns a floor before the first read asks for one, and opens the connections for it, so that
-   * callers who come back after a loss of all instances do not wait for it.
-   */
-  function lookAhead(): void {
-    const knowsNothing = evidence.highestTerm() === 0 && members.size > 0;
-    // Without the list, all instances of a large deployment would take the places of its holders.
-    const holdsForSure = options.areInstancesKnown() && isHolder();
-    if (knowsNothing && holdsForSure && uses('lookingAhead')) void floors.refresh();
+  /** Queries a read position and opens connections early, so that the first reads do not wait. */
+  function prefetchReadPosition(): void {
+    const hasNoObservations = evidence.highestTerm() === 0 && members.size > 0;
+    // Until the instance list is known, all instances would take connections meant for holders.
+    const isKnownHolder = options.areInstancesKnown() && isHolder();
+    if (hasNoObservations && isKnownHolder && uses('lookingAhead')) void readPositions.refresh();
   }
 
   function addOrUpdate(entry: KnownEntry): void {
@@ -182,19 +188,19 @@
   }
 
   function describeEntry({ leavingSince, ...entry }: KnownEntry) {
-    return { ...entry, ...describeLeaving(leavingSince, clock.readings()) };
+    return { ...entry, ...describeLeavingTime(leavingSince, clock.readings()) };
   }
 
   /**
-   * A member that started again under its id holds and knows nothing of before, at its address as at
-   * another one: its connections are dead, its prepared statements gone, and it leads no term.
+   * Discards the state of a member that restarted under the same id, whether or not its address
+   * changed: its connections and prepared statements are gone, and it is not primary of any term.
    */
   function restartMember({ entry: former, pool }: Member, entry: KnownEntry): void {
     const { memberId } = entry;
     logger.warn('memberRestarted', { group, memberId, former: former.startedAt });
     pool.close();
-    belief.forgetMember(memberId);
-    const trustedFrom = clock.now() + LONGEST_PROMOTION_MILLISECONDS;
+    primaryTracker.forgetMember(memberId);
+    const trustedFrom = clock.now() + MAXIMUM_PROMOTION_MILLISECONDS;
     evidence.restartMember(memberId, { trustedFrom });
   }
 
@@ -206,35 +212,35 @@
       group,
       memberId: entry.memberId,
       address: entry.address,
-      fairShare,
-      maximumConnections: connectionsOf(limits, LARGEST_CONNECTION_SHARE),
+      fairShare: calculateFairShare,
+      maximumConnections: calculateMaximumConnections(limits, MAXIMUM_CONNECTION_SHARE),
       isHolder,
       uses,
-      onFreed: () => members.get(entry.memberId)?.gate.review(),
+      onUnpinned: () => members.get(entry.memberId)?.gate.review(),
       onUnreachable: () => handleUnreachable(entry.memberId),
     });
     return createMember({
       entry,
       pool,
-      isNear: entry.dataCentre === dataCentre,
+      isSameDataCentre: entry.dataCentre === dataCentre,
       clock,
       uses,
     });
   }
 
-  function fairShare(): number {
-    const shared = limits.maximumConnections * SHARED_CONNECTION_SHARE;
+  function calculateFairShare(): number {
+    const shared = limits.maximumConnections * EVEN_CONNECTION_SHARE;
     return Math.max(1, Math.floor(shared / countSharers()));
   }
 
   function handleUnreachable(memberId: string): void {
     const member = members.get(memberId);
     if (!member) return;
-    avoidMember(member, clock.now());
-    if (belief.find() === member) context.suspectPrimary('unreachable', member);
+    backOffFromMember(member, clock.now());
+    if (primaryTracker.find() === member) context.suspectPrimary('unreachable', member);
   }
 
-  function upkeep(): void {
+  function runMaintenance(): void {
     for (const [memberId, member] of members) {
       member.pool.trim();
       const missing = member.missingSince;
@@ -248,11 +254,7 @@
     reviewDirectory();
   }
 
-  /**
-   * Only holders look after the primary unasked. A look costs questions to all members and connections
-   * that an instance without callers of its own there does not have; were all to look at once, the
-   * places of a member would not do.
-   */
+  /** Only holders check the primary: checks by all instances would exhaust connections. */
   function reviewDirectory(): void {
     if (isHolder()) promotion.reviewDirectory();
   }
@@ -261,27 +263,27 @@
     read,
     write: writes.write,
     openTransaction: transactions.open,
-    markArrival: () => markAsked(context),
+    markArrival: () => createEventStamp(context),
     updateMembers,
     updateLimits: (next) => {
       limits = next;
-      const maximum = connectionsOf(limits, LARGEST_CONNECTION_SHARE);
+      const maximum = calculateMaximumConnections(limits, MAXIMUM_CONNECTION_SHARE);
       for (const member of members.values()) member.pool.setMaximum(maximum);
     },
-    isUsable: () => members.size > 0 && belief.find() !== undefined,
+    isUsable: () => members.size > 0 && primaryTracker.find() !== undefined,
     forgetAges: evidence.forgetAges,
     counters,
     close: () => {
-      stopUpkeep();
-      asker.stop();
+      stopMaintenance();
+      evidencePoller.stop();
       promotion.close();
       for (const member of members.values()) member.pool.close();
     },
   };
 }
 
-function connectionsOf({ maximumConnections }: GroupLimits, share: number): number {
-  return Math.max(FEWEST_CONNECTIONS, Math.floor(maximumConnections * share));
+function calculateMaximumConnections({ maximumConnections }: GroupLimits, share: number): number {
+  return Math.max(MINIMUM_CONNECTIONS, Math.floor(maximumConnections * share));
 }
 
 function isChanged(before: KnownEntry, after: KnownEntry): boolean {
--- /dev/null
+++ b/packages/gateway/src/lib/groups/hedgedReads.ts
@@ -0,0 +1,133 @@
+import { createRetryBudget } from '@wisterialift/core';
+import type { UpstreamCommand } from '@wisterialift/pooling';
+import type { Position } from '@wisterialift/schema';
+import { resolveWithin } from '../timing/withinTime';
+import { attemptCommand } from './attemptCommand';
+import type { AttemptOutcome } from './attemptCommand';
+import type { GroupContext } from './groupContext';
+import { releaseConnection } from './releaseConnection';
+import type { Member } from './member';
+import type { ReadCandidate } from './readCandidates';
+import type { StatementRequest } from './statementRequest';
+
+/** A read attempted at one member. */
+export interface ReadAttempt {
+  candidate: ReadCandidate;
+  outcome: AttemptOutcome;
+}
+
+/** Creates the command for a read that requires `after` to be applied. */
+export type ReadCommandFactory = (after?: Position) => UpstreamCommand;
+
+/** Runs reads, repeating them at a second member if the first does not answer in time. */
+export interface HedgedReads {
+  /** Credits the hedging budget with a new read. */
+  recordRead: () => void;
+  run: (options: {
+    request: StatementRequest;
+    createCommand: ReadCommandFactory;
+    first: ReadCandidate;
+    second: ReadCandidate | undefined;
+  }) => Promise<ReadAttempt>;
+}
+
+/** Multiple of the expected latency after which a read is hedged. */
+const HEDGE_LATENCY_MULTIPLE = 5;
+const MINIMUM_HEDGE_DELAY_MILLISECONDS = 250;
+
+/** Hedges add at most a tenth to the load; an idle instance can always hedge a few reads. */
+const HEDGE_BUDGET = { share: 0.1, minimumTokens: 5 };
+
+/** Time after which a queued read re-evaluates all members, as others may be eligible by then. */
+const QUEUE_TIMEOUT_MILLISECONDS = 100;
+
+export function createHedgedReads(context: GroupContext): HedgedReads {
+  const { clock, counters, group, logger, uses } = context;
+  const budget = createRetryBudget(HEDGE_BUDGET);
+
+  async function run({
+    request,
+    createCommand,
+    first,
+    second,
+  }: Parameters<HedgedReads['run']>[0]): Promise<ReadAttempt> {
+    const firstAttempt = attemptRead(request, createCommand, first);
+    if (!second || second.wait > 0 || !uses('hedging')) return firstAttempt;
+    const hedgeDelay = calculateHedgeDelay(first.member);
+    const timeLeft = request.deadlineAt - clock.now();
+    const earlyResult = await resolveWithin(clock, firstAttempt, Math.min(hedgeDelay, timeLeft));
+    if (earlyResult) return earlyResult;
+    if (!budget.tryRetry(clock.now())) return firstAttempt;
+    // Reads are idempotent, and the first attempt continues because it may still finish first.
+    logger.info('readHedged', {
+      group,
+      requestId: request.id,
+      memberId: first.member.entry.memberId,
+      secondMemberId: second.member.entry.memberId,
+      waitedMilliseconds: Math.round(hedgeDelay),
+    });
+    counters.retries += 1;
+    return resolveFirstCompleted(context, [
+      firstAttempt,
+      attemptRead(request, createCommand, second),
+    ]);
+  }
+
+  function calculateHedgeDelay(member: Member): number {
+    return Math.max(
+      MINIMUM_HEDGE_DELAY_MILLISECONDS,
+      HEDGE_LATENCY_MULTIPLE * member.latency.current(clock.now()),
+    );
+  }
+
+  async function attemptRead(
+    request: StatementRequest,
+    createCommand: ReadCommandFactory,
+    candidate: ReadCandidate,
+  ): Promise<ReadAttempt> {
+    const command = createCommand(candidate.after);
+    const { deadlineAt } = request;
+    const { lag } = candidate.member;
+    if (candidate.isTrial) lag.beginTrial();
+    const outcome = await attemptCommand(context, candidate.member, {
+      request,
+      command,
+      deadlineAt,
+      queueTimeout: chooseQueueTimeout(request),
+    });
+    if (candidate.isTrial) lag.endTrial();
+    return { candidate, outcome };
+  }
+
+  /** Returns no timeout for a read that only the primary can serve. */
+  function chooseQueueTimeout({ route }: StatementRequest): number | undefined {
+    const canTryElsewhere = route.consistency !== 'primary' && uses('lookingAgain');
+    return canTryElsewhere ? QUEUE_TIMEOUT_MILLISECONDS : undefined;
+  }
+
+  return { recordRead: () => budget.recordFirstTry(clock.now()), run };
+}
+
+/** Resolves with the first completed attempt and releases the connections of the others. */
+function resolveFirstCompleted(
+  context: GroupContext,
+  attempts: Promise<ReadAttempt>[],
+): Promise<ReadAttempt> {
+  return new Promise((resolve, reject) => {
+    let pending = attempts.length;
+    let isResolved = false;
+    const settle = (result: ReadAttempt) => {
+      pending -= 1;
+      const { candidate, outcome } = result;
+      const isCompleted = outcome.type === 'answered' && outcome.answer.outcome === 'completed';
+      if (!isResolved && (isCompleted || pending === 0)) {
+        isResolved = true;
+        resolve(result);
+      } else if (outcome.type === 'answered') {
+        const { transaction } = outcome.answer;
+        releaseConnection(context, { ...candidate, connection: outcome.connection, transaction });
+      }
+    };
+    for (const readAttempt of attempts) readAttempt.then(settle, reject);
+  });
+}
--- a/packages/gateway/src/lib/groups/member.ts
+++ b/packages/gateway/src/lib/groups/member.ts
@@ -7,53 +7,52 @@
 import type { StatementGate } from './statementGate';
 import type { UpstreamPool } from './upstreamPool';
 
-/** One database of a group, as this instance knows it. */
+/** This instance's state for one database of a group. */
 export interface Member {
   entry: KnownEntry;
   pool: UpstreamPool;
-  /** Statements of this instance that it works at. */
+  /** Limits the concurrent statements of this instance at the member. */
   gate: StatementGate;
-  /** Time that reads take there, its queue and the way included. */
+  /** Response time of statements, including network and the member's queue. */
   latency: LatencyEstimate;
   lag: ReplicaLag;
   answeredAt: number;
-  /** No statement goes there before this time. */
+  /** Time before which no statement is sent to the member. */
   avoidUntil: number;
   failures: number;
-  /** When the directory stopped listing it; undefined while it does. */
+  /** When the directory stopped listing the member; undefined while it is listed. */
   missingSince: number | undefined;
 }
 
-/** Expected time of a read before any was measured, by how far the member is. */
+/** Expected latency before the first measurement. */
 export const INITIAL_LATENCY_MILLISECONDS = { sameDataCentre: 30, otherDataCentre: 55 };
 
-/** First pause after a failed connection; doubles up to the second. */
-const FIRST_PAUSE_MILLISECONDS = 150;
-const LONGEST_PAUSE_MILLISECONDS = 1_000;
+/** Backoff after a failed connection, doubled for each further failure up to the maximum. */
+const INITIAL_BACKOFF_MILLISECONDS = 150;
+const MAXIMUM_BACKOFF_MILLISECONDS = 1_000;
 
 /**
- * Statements that one instance has a member work at, for each of its slots. Several instances share a
- * member, whose queue holds about eight statements a slot before it sheds; at 1.5, seven instances
- * fill it to that mark when all of them press, and one alone keeps all slots busy.
+ * Concurrent statements of one instance for each slot of a member. Above 1 to keep all slots busy,
+ * but low enough that several instances together do not overflow the member's queue.
  */
 const STATEMENTS_PER_SLOT = 1.5;
 
 export function createMember(options: {
   entry: KnownEntry;
   pool: UpstreamPool;
-  isNear: boolean;
+  isSameDataCentre: boolean;
   clock: Clock;
   uses: UsesMechanism;
 }): Member {
-  const { entry, pool, isNear, clock, uses } = options;
+  const { entry, pool, isSameDataCentre, clock, uses } = options;
   const { sameDataCentre, otherDataCentre } = INITIAL_LATENCY_MILLISECONDS;
-  const latency = createLatencyEstimate(isNear ? sameDataCentre : otherDataCentre);
+  const latency = createLatencyEstimate(isSameDataCentre ? sameDataCentre : otherDataCentre);
   const gate = createStatementGate({
     clock,
     limit: Math.max(2, Math.ceil(entry.slots * STATEMENTS_PER_SLOT)),
     freeConnections: pool.freeConnections,
     expectedTime: () => latency.current(clock.now()),
-    delay: pool.delay,
+    delay: pool.estimateDelay,
     uses,
     onWaiting: pool.grow,
   });
@@ -70,8 +69,8 @@
   };
 }
 
-/** The longest time that a member may have been leaving, for the log; none where it stays. */
-export function describeLeaving(
+/** Returns the upper bound of the time a member has been leaving, as log fields. */
+export function describeLeavingTime(
   leavingSince: ClockReadings | undefined,
   present: ClockReadings,
 ): { leavingMilliseconds?: number } {
@@ -79,11 +78,11 @@
   return { leavingMilliseconds: Math.round(longestAge(leavingSince, present)) };
 }
 
-/** Keeps statements away from a member that cannot be reached, and tries it again later. */
-export function avoidMember(member: Member, now: number): void {
-  const pause = FIRST_PAUSE_MILLISECONDS * 2 ** member.failures;
+/** Sends no statements to an unreachable member until an exponential backoff has passed. */
+export function backOffFromMember(member: Member, now: number): void {
+  const backoff = INITIAL_BACKOFF_MILLISECONDS * 2 ** member.failures;
   Object.assign(member, {
-    avoidUntil: now + Math.min(LONGEST_PAUSE_MILLISECONDS, pause),
+    avoidUntil: now + Math.min(MAXIMUM_BACKOFF_MILLISECONDS, backoff),
     failures: Math.min(member.failures + 1, 8),
   });
 }
--- a/packages/gateway/src/lib/groups/memberQuestions.ts
+++ b/packages/gateway/src/lib/groups/memberQuestions.ts
@@ -1,16 +1,16 @@
 import { createSessionState } from '@wisterialift/pooling';
 import type { MemberReport, UpstreamCommand } from '@wisterialift/pooling';
-import { markAsked, observeReport } from './groupContext';
+import { createEventStamp, observeReport } from './groupContext';
 import type { GroupContext } from './groupContext';
 import type { Member } from './member';
 
-/** Highest priority: a question decides what many statements wait for. */
-const QUESTION_PRIORITY = -1;
+/** Goes before all statements, because many of them may wait for the report. */
+const QUERY_PRIORITY = -1;
 
 /**
- * Asks a member for its report, or gives it an order that it answers with one.
+ * Sends a member a control command and returns the status report it answers with.
  *
- * @returns undefined where it does not answer in time or not with a report; the log says why.
+ * @returns undefined if there is no report within `timeoutMilliseconds`; the cause is logged.
  */
 export async function askMember(
   context: GroupContext,
@@ -24,13 +24,17 @@
   if (command.type === 'status') counters.probes += 1;
   try {
     const session = createSessionState();
-    const acquired = member.pool.acquire({ session, deadlineAt, priority: QUESTION_PRIORITY });
-    const connection = await acquired;
-    const asked = markAsked(context);
-    const cancelLimit = clock.after(deadlineAt - clock.now(), () => {
+    const pendingConnection = member.pool.acquire({
+      session,
+      deadlineAt,
+      priority: QUERY_PRIORITY,
+    });
+    const connection = await pendingConnection;
+    const sentStamp = createEventStamp(context);
+    const cancelTimeout = clock.after(deadlineAt - clock.now(), () => {
       member.pool.discard(connection);
     });
-    const answer = await connection.link.run(command).finally(cancelLimit);
+    const answer = await connection.upstream.run(command).finally(cancelTimeout);
     member.pool.release(connection);
     const report = driver.readReport(answer);
     if (!report || !answer.position) {
@@ -38,7 +42,7 @@
       return undefined;
     }
     Object.assign(member, { answeredAt: clock.now(), failures: 0 });
-    observeReport(context, member, asked, { report, applied: answer.position });
+    observeReport(context, member, sentStamp, { report, applied: answer.position });
     return report;
   } catch (error) {
     logger.warn('questionFailed', {
--- /dev/null
+++ b/packages/gateway/src/lib/groups/primaryVerifier.ts
@@ -0,0 +1,149 @@
+import type { EvidenceWait } from '@wisterialift/pooling';
+import type { Position } from '@wisterialift/schema';
+import type { Route } from '../configuration/gatewayConfiguration';
+import type { EvidencePoller } from './evidencePoller';
+import { resolveWithin } from '../timing/withinTime';
+import type { AskedAt, GroupContext } from './groupContext';
+import type { Member } from './member';
+import { askMember } from './memberQuestions';
+
+/** Verifies that answers of the primary are current and its commits replicated. */
+export interface PrimaryVerifier {
+  /**
+   * Whether a read in `term` includes all commits acknowledged `maximumStaleness` milliseconds
+   * before `arrived`.
+   *
+   * Guards against a replaced primary that still answers and lacks later commits.
+   */
+  verifyCurrent: (options: {
+    member: Member;
+    term: number;
+    arrived: AskedAt;
+    maximumStaleness: number;
+    /** Milliseconds to wait before replicas are polled; see `calculatePollDelay`. */
+    pollDelay: number;
+    deadlineAt: number;
+  }) => Promise<boolean>;
+  /** Whether a wait for evidence exceeds the stall timeout, so that further ones are pointless. */
+  isStalled: () => boolean;
+  /** Waits until a second member holds a commit of the primary, or a later term supersedes it. */
+  verifyReplicated: (options: {
+    member: Member;
+    position: Position;
+    pollDelay: number;
+    deadlineAt: number;
+  }) => Promise<'copied' | 'superseded' | 'unknown'>;
+}
+
+/**
+ * Time without evidence after which the primary is suspected to be disconnected from its replicas.
+ * Long enough to poll a second replica when the first does not answer.
+ */
+const STALL_TIMEOUT_MILLISECONDS = 900;
+
+/**
+ * Part of a route's goal to wait for evidence before polling. Transactions can wait twice and must
+ * still meet their goal.
+ */
+const POLL_DELAY_SHARE = 0.2;
+
+/** Regular reads usually provide evidence sooner than this. */
+const MAXIMUM_POLL_DELAY_MILLISECONDS = 300;
+
+/** Returns how long statements of a route wait for evidence before polling, in milliseconds. */
+export function calculatePollDelay({ goal }: Route): number {
+  return Math.min(MAXIMUM_POLL_DELAY_MILLISECONDS, goal * POLL_DELAY_SHARE);
+}
+
+interface EvidenceOptions {
+  member: Member;
+  pollDelay: number;
+  deadlineAt: number;
+}
+
+const ROLE_QUERY_TIMEOUT_MILLISECONDS = 400;
+
+export function createPrimaryVerifier(
+  context: GroupContext,
+  poller: EvidencePoller,
+): PrimaryVerifier {
+  const { belief, clock, evidence, members } = context;
+
+  /** Start times of pending waits, oldest first. */
+  const waitStartTimes = new Set<number>();
+
+  const hasOtherMembers = ({ entry }: Member) =>
+    [...members.keys()].some((memberId) => memberId !== entry.memberId);
+
+  async function confirmPrimaryRole(member: Member, term: number): Promise<boolean> {
+    const { memberId } = member.entry;
+    if (belief.isConfirmed(memberId, term)) return true;
+    const report = await askMember(
+      context,
+      member,
+      { type: 'status' },
+      ROLE_QUERY_TIMEOUT_MILLISECONDS,
+    );
+    if (belief.isConfirmed(memberId, term)) return true;
+    // A failed query is no rejection; treated as one, it could leave the group without a primary.
+    if (report) belief.rejectPrimary(member, term);
+    return false;
+  }
+
+  /** Whether a replica answered in `term` to a question sent at or after `since`. */
+  function hasRecentReply(member: Member, term: number, since: number): boolean {
+    return [...members.keys()].some((memberId) => {
+      if (memberId === member.entry.memberId) return false;
+      const seen = evidence.lastSeen(memberId);
+      return seen !== undefined && seen.term === term && seen.askedAt >= since;
+    });
+  }
+
+  async function waitForEvidence(wait: EvidenceWait, options: EvidenceOptions) {
+    const { member, pollDelay, deadlineAt } = options;
+    const stopPolling = poller.startPolling(pollDelay);
+    const startedAt = clock.now();
+    waitStartTimes.add(startedAt);
+    const cancelStallTimer = clock.after(STALL_TIMEOUT_MILLISECONDS, () => {
+      context.suspectPrimary('unconfirmed', member);
+    });
+    const verdict = await resolveWithin(clock, wait.verdict, deadlineAt - clock.now());
+    cancelStallTimer();
+    waitStartTimes.delete(startedAt);
+    stopPolling();
+    wait.cancel();
+    return verdict;
+  }
+
+  const isStalled = () => {
+    const [oldest] = waitStartTimes;
+    return oldest !== undefined && clock.now() - oldest > STALL_TIMEOUT_MILLISECONDS;
+  };
+
+  return {
+    isStalled,
+    verifyCurrent: async ({ member, term, arrived, maximumStaleness, pollDelay, deadlineAt }) => {
+      if (!(await confirmPrimaryRole(member, term))) return false;
+      if (!hasOtherMembers(member)) return true;
+      const canBeStale = maximumStaleness > 0;
+      if (canBeStale && hasRecentReply(member, term, arrived.at - maximumStaleness)) return true;
+      const { memberId: primaryId } = member.entry;
+      const wait = evidence.waitForTerm({ term, sequence: arrived.sequence, primaryId });
+      const verdict = await waitForEvidence(wait, { member, pollDelay, deadlineAt });
+      if (verdict?.type === 'superseded') belief.rejectPrimary(member, term);
+      return verdict?.type === 'proved';
+    },
+    verifyReplicated: async ({ member, position, pollDelay, deadlineAt }) => {
+      if (!hasOtherMembers(member)) return 'copied';
+      const wait = evidence.waitForCopy({
+        position,
+        primaryId: member.entry.memberId,
+        memberIds: () => [...members.keys()],
+      });
+      const verdict = await waitForEvidence(wait, { member, pollDelay, deadlineAt });
+      if (!verdict) return 'unknown';
+      if (verdict.type === 'superseded') belief.rejectPrimary(member, position.term);
+      return verdict.type === 'proved' ? 'copied' : 'superseded';
+    },
+  };
+}
--- /dev/null
+++ b/packages/gateway/src/lib/groups/readCandidates.ts
@@ -0,0 +1,111 @@
+import { orderMembersForRead } from '@wisterialift/pooling';
+import type { RequiredLog } from '@wisterialift/pooling';
+import { isAtMost } from '@wisterialift/schema';
+import type { Position } from '@wisterialift/schema';
+import type { GroupContext } from './groupContext';
+import type { Member } from './member';
+import type { PrimaryVerifier } from './primaryVerifier';
+import type { StatementRequest } from './statementRequest';
+
+/** A member that is eligible to run a read. */
+export interface ReadCandidate {
+  member: Member;
+  /** Expected milliseconds until the member has applied the required log. */
+  wait: number;
+  /** Whether the read tests if a member with an outdated lag estimate still lags. */
+  isTrial: boolean;
+  isPrimary: boolean;
+  /** Position that must be applied for the read; undefined if only the primary can serve it. */
+  after: Position | undefined;
+  /** Expected milliseconds until a connection is available. */
+  delay: number;
+}
+
+/** Selects members that can run a read. */
+export interface ReadCandidates {
+  /**
+   * Returns the members that can run a read, best first.
+   *
+   * @param fullMembers - members to leave out because they had no capacity for this read.
+   */
+  rank: (request: StatementRequest, fullMembers: ReadonlySet<Member>) => ReadCandidate[];
+  /** Whether some member is expected to run the read without delay. */
+  hasIdle: (request: StatementRequest) => boolean;
+  /** Whether a position is known from which replicas can serve the read. */
+  hasPosition: (request: StatementRequest) => boolean;
+}
+
+/** Subtracted from the permitted staleness for network latency and clock drift. */
+export const STALENESS_MARGIN_MILLISECONDS = 60;
+
+export function createReadCandidates(
+  context: GroupContext,
+  verifier: PrimaryVerifier,
+): ReadCandidates {
+  const { belief, clock, evidence, leaving, members, uses } = context;
+
+  function rank(request: StatementRequest, fullMembers: ReadonlySet<Member>): ReadCandidate[] {
+    const now = clock.now();
+    const primary = belief.find();
+    const required = findRequiredLog(request);
+    const candidates = [...members.values()]
+      .filter((member) => (member === primary ? !verifier.isStalled() : required !== undefined))
+      .filter((member) => !fullMembers.has(member) && member.avoidUntil <= now)
+      .filter((member) => !isUnavailableReplica(member, primary) && leaving.canAccept(member))
+      .map((member) => ({
+        memberId: member.entry.memberId,
+        member,
+        isPrimary: member === primary,
+        after: required?.position,
+        latency: member.latency.current(now),
+        isReserved: member === primary && uses('reservedPrimary'),
+        load: member.gate.load(),
+        capacity: member.gate.capacity(),
+        delay: member.pool.estimateDelay(),
+        ...estimateWait(member, member === primary ? undefined : required, now),
+      }));
+    return orderMembersForRead(candidates);
+  }
+
+  function isUnavailableReplica(member: Member, primary: Member | undefined): boolean {
+    if (member.missingSince !== undefined) return true;
+    return member.entry.isLeaving && member !== primary;
+  }
+
+  /** Returns the log that the read requires, or undefined if only the primary can serve it. */
+  function findRequiredLog({ route, session, arrived }: StatementRequest): RequiredLog | undefined {
+    if (route.consistency === 'primary') return undefined;
+    const maximumAge = route.maximumStaleness - STALENESS_MARGIN_MILLISECONDS;
+    const floor = evidence.findFloor({ now: arrived.at, maximumAge });
+    if (!floor) return undefined;
+    const { lastCommit } = session;
+    const isOwnCommitRequired = route.consistency === 'readYourWrites' && lastCommit !== undefined;
+    if (isOwnCommitRequired && !isAtMost(lastCommit.position, floor.position)) return lastCommit;
+    return { position: floor.position, seenAt: floor.askedAt };
+  }
+
+  /**
+   * Estimates the time until a member has applied the required log. Waiting for lagging replicas
+   * prevents an overload of the primary.
+   */
+  function estimateWait(
+    { lag }: Member,
+    required: RequiredLog | undefined,
+    now: number,
+  ): Pick<ReadCandidate, 'wait' | 'isTrial'> {
+    const wait = lag.timeUntilApplied(required, now);
+    const isTrial = wait > 0 && lag.mayBeTried(now) && uses('trialReads');
+    return { wait: isTrial ? 0 : wait, isTrial };
+  }
+
+  const hasIdle = (request: StatementRequest) =>
+    rank(request, new Set()).some(
+      ({ member, wait, delay }) => wait === 0 && delay === 0 && member.gate.hasRoom(),
+    );
+
+  return {
+    rank,
+    hasIdle,
+    hasPosition: (request) => findRequiredLog(request) !== undefined,
+  };
+}
--- /dev/null
+++ b/packages/gateway/src/lib/groups/readPositionRefresher.ts
@@ -0,0 +1,75 @@
+import type { MemberReport } from '@wisterialift/pooling';
+import { maxPosition } from '@wisterialift/schema';
+import type { GroupContext } from './groupContext';
+import type { Member } from './member';
+import { askMember } from './memberQuestions';
+
+/**
+ * Queries members for a log position that includes every acknowledged commit. Until one is known,
+ * all reads go to the primary.
+ */
+export interface ReadPositionRefresher {
+  /** Resolves when the query has succeeded or failed; concurrent calls share one query. */
+  refresh: () => Promise<void>;
+}
+
+/** Allows for a new connection and two round trips between distant data centres. */
+const QUERY_TIMEOUT_MILLISECONDS = 400;
+
+/** Pause after a failed query. */
+const RETRY_DELAY_MILLISECONDS = 50;
+
+/**
+ * Creates a refresher that queries the primary and the other members at the same time.
+ *
+ * Every acknowledged commit is in the log of another member, so the most advanced of those logs is
+ * sufficient if the primary is unreachable or out of connections.
+ */
+export function createReadPositionRefresher(context: GroupContext): ReadPositionRefresher {
+  const { belief, clock, evidence, members } = context;
+  let pendingRefresh: Promise<void> | undefined;
+
+  async function refreshOnce(): Promise<void> {
+    const primary = belief.find();
+    const isRefreshed = await waitForFirstTrue([queryPrimary(primary), queryOtherMembers(primary)]);
+    if (!isRefreshed) await belief.waitForChange(RETRY_DELAY_MILLISECONDS);
+  }
+
+  async function queryPrimary(primary: Member | undefined): Promise<boolean> {
+    const report = primary && (await queryReport(primary));
+    return report?.isPrimary ?? false;
+  }
+
+  async function queryReport(member: Member) {
+    if (member.avoidUntil > clock.now()) return undefined;
+    return askMember(context, member, { type: 'status' }, QUERY_TIMEOUT_MILLISECONDS);
+  }
+
+  async function queryOtherMembers(primary: Member | undefined): Promise<boolean> {
+    const others = [...members.values()].filter((member) => member !== primary);
+    const sentAt = clock.now();
+    const responses = await Promise.all(others.map(queryReport));
+    const reports = responses.filter((report): report is MemberReport => report !== undefined);
+    const [first, ...rest] = reports.map(({ received }) => received);
+    if (!first || reports.length < Math.max(1, members.size - 1)) return false;
+    evidence.addFloor({ askedAt: sentAt, position: rest.reduce(maxPosition, first) });
+    return true;
+  }
+
+  return {
+    refresh: () => {
+      pendingRefresh ??= refreshOnce().finally(() => {
+        pendingRefresh = undefined;
+      });
+      return pendingRefresh;
+    },
+  };
+}
+
+/** Resolves to true at the first true answer, or to false if all answers are false. */
+function waitForFirstTrue(answers: Promise<boolean>[]): Promise<boolean> {
+  return new Promise((resolve) => {
+    for (const answer of answers) void answer.then((isTrue) => isTrue && resolve(true));
+    void Promise.all(answers).then(() => resolve(false));
+  });
+}
--- /dev/null
+++ b/packages/gateway/src/lib/groups/readRouter.ts
@@ -0,0 +1,231 @@
+import type { UpstreamAnswer } from '@wisterialift/pooling';
+import type { AttemptOutcome, NotSentCause } from './attemptCommand';
+import type { ReadPositionRefresher } from './readPositionRefresher';
+import type { GroupContext } from './groupContext';
+import { releaseConnection } from './releaseConnection';
+import { createHedgedReads } from './hedgedReads';
+import type { ReadCommandFactory } from './hedgedReads';
+import { backOffFromMember } from './member';
+import type { Member } from './member';
+import { calculatePollDelay } from './primaryVerifier';
+import type { PrimaryVerifier } from './primaryVerifier';
+import { createReadCandidates, STALENESS_MARGIN_MILLISECONDS } from './readCandidates';
+import type { ReadCandidate } from './readCandidates';
+import { refuseUnroutable } from './refusals';
+import type { StatementRequest } from './statementRequest';
+import type { PooledConnection } from './upstreamPool';
+
+/** Where a read ran. The receiver must release the connection. */
+export interface RoutedRead {
+  member: Member;
+  /** Whether the member was considered the primary. */
+  isPrimary: boolean;
+  connection: PooledConnection;
+  answer: UpstreamAnswer;
+}
+
+export interface ReadRouter {
+  /** Runs a command at a member that meets the route's consistency; refusals omit `routed`. */
+  run: (
+    request: StatementRequest,
+    createCommand: ReadCommandFactory,
+  ) => Promise<{ answer: UpstreamAnswer; routed?: RoutedRead }>;
+}
+
+/** Pause before candidates are evaluated again. */
+const RETRY_DELAY_MILLISECONDS = 25;
+
+/** Backoff from a busy member: about the duration of one statement. */
+const BUSY_BACKOFF_MILLISECONDS = 30;
+
+/** Backoff from a replica that refused a read because it lags. */
+const LAGGING_BACKOFF_MILLISECONDS = 25;
+
+/** Causes that exclude a member from the rest of the search. */
+const MEMBER_FULL_CAUSES: ReadonlySet<NotSentCause> = new Set(['noCapacity', 'leaving']);
+
+/** State of the search for a member that can run a read. */
+interface ReadSearch {
+  /** Members that had no capacity for the read. */
+  fullMembers: Set<Member>;
+  hasRefreshedReadPosition: boolean;
+}
+
+/** The best two candidates that can meet the read's deadline. */
+interface RankedCandidates {
+  first: ReadCandidate;
+  second: ReadCandidate | undefined;
+}
+
+type ReadVerdict = 'accepted' | 'retry' | 'final' | 'full';
+
+export function createReadRouter(
+  context: GroupContext,
+  {
+    verifier,
+    readPositions,
+  }: {
+    verifier: PrimaryVerifier;
+    readPositions: ReadPositionRefresher;
+  },
+): ReadRouter {
+  const { belief, clock, counters, evidence, leaving, logger, group, uses } = context;
+  const candidates = createReadCandidates(context, verifier);
+  const hedgedReads = createHedgedReads(context);
+
+  const timeLeftOf = (request: StatementRequest) => request.deadlineAt - clock.now();
+
+  const canUseReplica = ({ route }: StatementRequest) => route.consistency !== 'primary';
+
+  async function run(
+    request: StatementRequest,
+    createCommand: ReadCommandFactory,
+  ): Promise<{ answer: UpstreamAnswer; routed?: RoutedRead }> {
+    hedgedReads.recordRead();
+    if (leaving.isGroupClosed()) return { answer: refuseRead(request) };
+    if (canUseReplica(request) && !candidates.hasPosition(request)) await readPositions.refresh();
+    const search: ReadSearch = { fullMembers: new Set(), hasRefreshedReadPosition: false };
+    for (;;) {
+      const found = await findMembers(request, search);
+      if (!found) return { answer: refuseRead(request) };
+      const { candidate, outcome } = await hedgedReads.run({
+        request,
+        createCommand,
+        ...found,
+      });
+      const verdict = await evaluateOutcome(request, candidate, outcome);
+      if (outcome.type === 'answered') {
+        const { answer, connection } = outcome;
+        if (verdict === 'accepted') return { answer, routed: { ...candidate, answer, connection } };
+        releaseConnection(context, { ...candidate, connection, transaction: answer.transaction });
+        if (verdict === 'final') return { answer };
+      }
+      if (verdict === 'full') {
+        if (!uses('secondChoice')) return { answer: refuseRead(request) };
+        search.fullMembers.add(candidate.member);
+      }
+      counters.retries += 1;
+    }
+  }
+
+  /** Waits until a member can run the read; undefined if none can before the deadline. */
+  async function findMembers(
+    request: StatementRequest,
+    search: ReadSearch,
+  ): Promise<RankedCandidates | undefined> {
+    while (timeLeftOf(request) > 0 && !leaving.isGroupClosed()) {
+      const all = candidates.rank(request, search.fullMembers);
+      const [first, second] = all.filter(({ wait }) => wait <= timeLeftOf(request));
+      if (!first && all.length > 0) return undefined;
+      if (!first && search.fullMembers.size > 0) {
+        // A member that was full earlier may have capacity now.
+        if (!candidates.hasIdle(request)) return undefined;
+        search.fullMembers.clear();
+        continue;
+      }
+      if (!first && verifier.isStalled()) return undefined;
+      if (first && shouldRefreshReadPosition(request, search, first)) {
+        Object.assign(search, { hasRefreshedReadPosition: true });
+        await readPositions.refresh();
+        continue;
+      }
+      if (first?.wait === 0) return { first, second };
+      if (first && !uses('waitingForReplicas')) return undefined;
+      await belief.waitForChange(Math.min(RETRY_DELAY_MILLISECONDS, timeLeftOf(request)));
+    }
+    return undefined;
+  }
+
+  /** Whether to query a read position so that replicas can relieve a primary without capacity. */
+  function shouldRefreshReadPosition(
+    request: StatementRequest,
+    { hasRefreshedReadPosition }: ReadSearch,
+    { member, isPrimary, after }: ReadCandidate,
+  ): boolean {
+    const isReadPositionMissing = canUseReplica(request) && after === undefined;
+    return (
+      isReadPositionMissing && !hasRefreshedReadPosition && isPrimary && !member.gate.hasRoom()
+    );
+  }
+
+  function refuseRead(request: StatementRequest): UpstreamAnswer {
+    if (timeLeftOf(request) > 0 && candidates.hasIdle(request)) counters.refusedBesideIdle += 1;
+    return refuseUnroutable(context, request, 'aborted', 'no member can show the read in time');
+  }
+
+  async function evaluateOutcome(
+    request: StatementRequest,
+    candidate: ReadCandidate,
+    outcome: AttemptOutcome,
+  ): Promise<ReadVerdict> {
+    if (outcome.type !== 'answered') {
+      handleUnanswered(candidate, outcome);
+      const cause = outcome.type === 'notSent' ? outcome.cause : undefined;
+      if (cause === 'leaving') await belief.waitForChange(RETRY_DELAY_MILLISECONDS);
+      return cause && MEMBER_FULL_CAUSES.has(cause) ? 'full' : 'retry';
+    }
+    const { answer } = outcome;
+    if (answer.outcome === 'refused') return evaluateRefusal(request, candidate, answer);
+    if (!answer.position) return 'retry';
+    const { term } = answer.position;
+    // A former primary of this term needs verification too: the required position was its own.
+    const isPrimaryAnswer =
+      candidate.isPrimary || belief.isConfirmed(candidate.member.entry.memberId, term);
+    if (!isPrimaryAnswer) return term === candidate.after?.term ? 'accepted' : 'retry';
+    const isCurrent = await verifier.verifyCurrent({
+      member: candidate.member,
+      term,
+      arrived: request.arrived,
+      maximumStaleness: request.route.maximumStaleness - STALENESS_MARGIN_MILLISECONDS,
+      pollDelay: calculatePollDelay(request.route),
+      deadlineAt: request.deadlineAt,
+    });
+    return isCurrent ? 'accepted' : 'retry';
+  }
+
+  function handleUnanswered(candidate: ReadCandidate, outcome: AttemptOutcome): void {
+    const isUnreachable = outcome.type === 'notSent' && outcome.cause === 'unreachable';
+    if (candidate.isPrimary && (isUnreachable || outcome.type === 'lost')) {
+      context.suspectPrimary(isUnreachable ? 'unreachable' : 'silent', candidate.member);
+    }
+    if (outcome.type === 'lost' && outcome.cause === 'broken') {
+      backOffFromMember(candidate.member, clock.now());
+    }
+  }
+
+  function evaluateRefusal(
+    request: StatementRequest,
+    { member, isPrimary }: ReadCandidate,
+    answer: UpstreamAnswer & { outcome: 'refused' },
+  ): ReadVerdict {
+    const now = clock.now();
+    const handlers: Partial<Record<typeof answer.reason, () => ReadVerdict>> = {
+      busy: () => {
+        Object.assign(member, { avoidUntil: now + BUSY_BACKOFF_MILLISECONDS });
+        return 'retry';
+      },
+      lagging: () => {
+        Object.assign(member, { avoidUntil: now + LAGGING_BACKOFF_MILLISECONDS });
+        if (isPrimary) forgetDiscardedCommit(request, answer);
+        return 'retry';
+      },
+      readOnly: () => {
+        belief.rejectPrimary(member, answer.position?.term ?? evidence.highestTerm());
+        return 'retry';
+      },
+      unknownStatement: () => 'retry',
+    };
+    return handlers[answer.reason]?.() ?? 'final';
+  }
+
+  /** Drops the required commit if the primary of a later term has discarded it. */
+  function forgetDiscardedCommit(request: StatementRequest, answer: UpstreamAnswer): void {
+    const { session } = request;
+    const term = answer.position?.term ?? 0;
+    if (!session.lastCommit || session.lastCommit.position.term >= term) return;
+    logger.warn('ownCommitDiscarded', { group, requestId: request.id, commit: session.lastCommit });
+    session.lastCommit = undefined;
+  }
+
+  return { run };
+}
--- a/packages/gateway/src/lib/groups/refusals.ts
+++ b/packages/gateway/src/lib/groups/refusals.ts
@@ -4,11 +4,11 @@
 import type { Member } from './member';
 import type { StatementRequest } from './statementRequest';
 
-/** What a refusal is counted and logged with; what the instance believes of the group, if it does. */
+/** Counters, logging and, if available, the state of the group. */
 type RefusalContext = Pick<GroupContext, 'clock' | 'counters' | 'group' | 'logger' | 'random'> &
   Partial<Pick<GroupContext, 'belief' | 'evidence' | 'leaving' | 'members'>>;
 
-/** Builds a refusal of this instance's own, and logs what decided it. */
+/** Creates, counts and logs a refusal by this instance. */
 export function refuse(
   context: RefusalContext,
   request: StatementRequest,
@@ -35,7 +35,7 @@
   return { lag: Math.round(milliseconds), lagAge: age === undefined ? undefined : Math.round(age) };
 }
 
-/** Refuses what could be served later, and says when to come back. */
+/** Refuses a statement temporarily and states a retry delay. */
 export function refuseForNow(
   context: RefusalContext,
   request: StatementRequest,
@@ -43,38 +43,38 @@
   detail: string,
 ): UpstreamAnswer {
   const milliseconds = comeBackTime({
-    expectedWait: shortestWait(context),
+    expectedWait: findShortestWait(context),
     spread: context.random(),
   });
   return refuse(context, request, reason, `${detail}, come back in ${milliseconds} ms`);
 }
 
-/** Refuses what no member could be found for, and says when to come back. */
-export function refuseUnplaced(
+/** Refuses a statement for which no member was found and states a retry delay. */
+export function refuseUnroutable(
   context: GroupContext,
   request: StatementRequest,
   reason: FailureReason,
   detail: string,
 ): UpstreamAnswer {
-  if (context.leaving.isGroupClosed()) return refuseClosed(context, request);
+  if (context.leaving.isGroupClosed()) return refuseClosedGroup(context, request);
   return refuseForNow(context, request, reason, detail);
 }
 
-/** Refuses what no member takes: all that are listed leave, and their time is over. */
-function refuseClosed(context: GroupContext, request: StatementRequest): UpstreamAnswer {
+/** Refuses a statement because all members are leaving. */
+function refuseClosedGroup(context: GroupContext, request: StatementRequest): UpstreamAnswer {
   const milliseconds = comeBackTime({ expectedWait: Infinity, spread: context.random() });
   const detail = `all members are leaving, come back in ${milliseconds} ms`;
   return refuse(context, request, 'busy', detail);
 }
 
-function shortestWait({ clock, leaving, members }: RefusalContext): number | undefined {
+function findShortestWait({ clock, leaving, members }: RefusalContext): number | undefined {
   const waits = [...(members?.values() ?? [])]
-    .filter((member) => member.avoidUntil <= clock.now() && leaving?.mayTake(member))
+    .filter((member) => member.avoidUntil <= clock.now() && leaving?.canAccept(member))
     .map(({ gate }) => gate.expectedWait());
   return waits.length > 0 ? Math.min(...waits) : undefined;
 }
 
-/** What decided where the statement could have gone; times in milliseconds. */
+/** Returns the members' routing state for the log; times are in milliseconds. */
 function describeMembers(members: GroupContext['members'], now: number) {
   return [...members.values()].map(({ entry, gate, lag, latency, avoidUntil }) => ({
     memberId: entry.memberId,
--- a/packages/gateway/src/lib/groups/giveBack.ts
+++ b/packages/gateway/src/lib/groups/releaseConnection.ts
@@ -4,12 +4,11 @@
 import type { PooledConnection } from './upstreamPool';
 
 /**
- * Gives a connection back after an answer that left it in the given state.
+ * Returns a connection to its pool, rolling back an open transaction first.
  *
- * A transaction that nobody uses any more is rolled back first. Given back with it, the connection
- * would run the next session's statements inside that transaction.
+ * Otherwise the next session's statements would run inside that transaction.
  */
-export function giveBack(
+export function releaseConnection(
   { logger }: { logger: Logger },
   options: { member: Member; connection: PooledConnection; transaction: TransactionState },
 ): void {
@@ -18,7 +17,7 @@
     member.pool.release(connection);
     return;
   }
-  connection.link.run({ type: 'rollback' }).then(
+  connection.upstream.run({ type: 'rollback' }).then(
     (answer) => {
       if (answer.transaction === 'idle') member.pool.release(connection);
       else member.pool.discard(connection);
--- a/packages/gateway/src/lib/groups/statementGate.ts
+++ b/packages/gateway/src/lib/groups/statementGate.ts
@@ -4,52 +4,52 @@
 import type { UsesMechanism } from '../mechanisms';
 import type { CancelTimer, Clock } from '../ports/clock';
 
-/** A statement that wants to run at a member. */
+/** A statement that requests admission to a member. */
 export interface GateRequest {
-  /** 0 goes first. */
+  /** Priority; 0 is the highest for callers. */
   priority: number;
-  /** Time of its route's goal, in milliseconds. */
+  /** Latency goal of the route, in milliseconds. */
   goal: number;
-  /** When its caller sent it; decides its turn among those of its priority. */
+  /** When the statement arrived; determines its order within its priority. */
   arrivedAt: number;
   deadlineAt: number;
-  /** Milliseconds after which it would rather look elsewhere; it keeps its turn if it comes back. */
-  patience?: number;
-  /** Whether it runs on a connection that its transaction holds. */
+  /** Milliseconds to wait before `notYet`; a repeated request keeps its order by `arrivedAt`. */
+  queueTimeout?: number;
+  /** Whether the statement runs on the connection of its transaction. */
   hasConnection?: boolean;
 }
 
-/** Whether a statement may run: not where its turn would come too late, not yet after its patience. */
+/** `tooLate`: no turn before the deadline; `notYet`: no turn within `queueTimeout`. */
 export type Admission = 'admitted' | 'tooLate' | 'notYet';
 
-/** Limits the statements that this instance lets a member work at. */
+/** Limits the concurrent statements of this instance at a member. */
 export interface StatementGate {
   enter: (request: GateRequest) => Promise<Admission>;
   leave: (request: GateRequest) => void;
-  /** Statements that run and that wait. */
+  /** Number of running and waiting statements. */
   load: () => number;
-  /** Statements outside of transactions that can run side by side. */
+  /** Number of statements outside transactions that can run concurrently. */
   capacity: () => number;
-  /** Milliseconds until a statement that came now would run, were it the last in the queue. */
+  /** Expected wait of a new statement at the end of the queue, in milliseconds. */
   expectedWait: () => number;
-  /** Whether a statement outside of a transaction would run at once. */
+  /** Whether a statement outside a transaction would be admitted immediately. */
   hasRoom: () => boolean;
-  /** Lets statements run that wait for connections which are there now. */
+  /** Admits waiting statements after connections have become available. */
   review: () => void;
 }
 
 export interface StatementGateOptions {
   clock: Clock;
-  /** Statements that may run side by side. */
+  /** Maximum number of concurrent statements. */
   limit: number;
-  /** Connections that statements outside of transactions can have. */
+  /** Number of connections available to statements outside transactions. */
   freeConnections: () => number;
-  /** Expected time of one statement at the member, in milliseconds. */
+  /** Expected duration of one statement at the member, in milliseconds. */
   expectedTime: () => number;
-  /** Milliseconds until there is a connection to run on. */
+  /** Expected milliseconds until a connection is available. */
   delay: () => number;
   uses: UsesMechanism;
-  /** Statements wait that more connections could run. */
+  /** Called when statements wait that more connections could run. */
   onWaiting: () => void;
 }
 
@@ -59,30 +59,29 @@
 }
 
 /**
- * Creates a gate before one member.
+ * Creates an admission queue for one member, ordered by `chooseNextStatement`.
  *
- * A member sheds what does not fit its queue, and callers that come back at once fill it again. What
- * cannot run waits here instead, in the order of `chooseNextStatement`, and is refused as soon as it
- * is clear that its turn comes too late.
+ * Statements that would be too late are refused early, so that the member's own queue does not
+ * overflow.
  */
 export function createStatementGate(options: StatementGateOptions): StatementGate {
   const { clock, limit, freeConnections, expectedTime, delay, uses, onWaiting } = options;
   const waiters: Waiter[] = [];
   const service = createServiceEstimate();
   let running = 0;
-  let runningOnFree = 0;
-  /** Since when statements have waited without a break. */
+  let runningOutsideTransactions = 0;
+  /** Since when the queue has not been empty. */
   let queuedSince: number | undefined;
 
-  const mayRun = ({ hasConnection = false }: Pick<GateRequest, 'hasConnection'>) =>
-    running < limit && (hasConnection || runningOnFree < freeConnections());
+  const canRun = ({ hasConnection = false }: Pick<GateRequest, 'hasConnection'>) =>
+    running < limit && (hasConnection || runningOutsideTransactions < freeConnections());
 
-  function begin({ hasConnection }: Pick<GateRequest, 'hasConnection'>): void {
+  function startRunning({ hasConnection }: Pick<GateRequest, 'hasConnection'>): void {
     running += 1;
-    if (!hasConnection) runningOnFree += 1;
+    if (!hasConnection) runningOutsideTransactions += 1;
   }
 
-  const queuedFor = () => (queuedSince === undefined ? 0 : clock.now() - queuedSince);
+  const calculateQueuedTime = () => (queuedSince === undefined ? 0 : clock.now() - queuedSince);
 
   function removeWaiter(waiter: Waiter): void {
     waiters.splice(waiters.indexOf(waiter), 1);
@@ -90,82 +89,88 @@
   }
 
   /**
-   * Time until a statement's turn, by the pace at which this instance's statements end there while
-   * others wait. The member's slots are shared, and what the others take shows in no limit.
+   * Estimates the time until a statement's turn from observed completions, because other instances
+   * take an unknown part of the member's slots.
    */
-  function turnBehind(statements: number): number {
-    const pace = service.completionInterval() || expectedTime() / limit;
-    return (statements + 1) * pace;
+  function estimateTurn(statements: number): number {
+    const interval = service.completionInterval() || expectedTime() / limit;
+    return (statements + 1) * interval;
   }
 
-  /** A statement of an open transaction has its connection, whatever others wait for. */
-  function waitOf({ priority, arrivedAt, hasConnection }: GateRequest): number {
+  /** Statements of an open transaction do not wait for a connection. */
+  function estimateWait({ priority, arrivedAt, hasConnection }: GateRequest): number {
     const ahead = waiters.filter(
       (waiter) =>
         waiter.priority < priority ||
         (waiter.priority === priority && waiter.arrivedAt <= arrivedAt),
     );
-    return (hasConnection ? 0 : delay()) + turnBehind(ahead.length);
+    return (hasConnection ? 0 : delay()) + estimateTurn(ahead.length);
   }
 
-  function admitWaiting(): void {
+  function admitWaiters(): void {
     for (;;) {
-      const next = chooseNextStatement(waiters.filter(mayRun));
+      const next = chooseNextStatement(waiters.filter(canRun));
       if (!next) return;
       removeWaiter(next);
-      begin(next);
+      startRunning(next);
       next.settle('admitted');
     }
   }
 
-  function wait(request: GateRequest): Promise<Admission> {
-    const { priority, arrivedAt, deadlineAt, hasConnection = false, patience = Infinity } = request;
+  function enqueue(request: GateRequest): Promise<Admission> {
+    const {
+      priority,
+      arrivedAt,
+      deadlineAt,
+      hasConnection = false,
+      queueTimeout = Infinity,
+    } = request;
     const timeLeft = deadlineAt - clock.now();
     return new Promise((resolve) => {
-      let cancelLimit: CancelTimer | undefined;
+      let cancelTimeout: CancelTimer | undefined;
       const waiter: Waiter = {
         priority,
         hasConnection,
         arrivedAt,
         settle: (admission) => {
-          cancelLimit?.();
+          cancelTimeout?.();
           resolve(admission);
         },
       };
-      cancelLimit = clock.after(Math.min(timeLeft, patience), () => {
+      cancelTimeout = clock.after(Math.min(timeLeft, queueTimeout), () => {
         removeWaiter(waiter);
-        resolve(timeLeft <= patience ? 'tooLate' : 'notYet');
+        resolve(timeLeft <= queueTimeout ? 'tooLate' : 'notYet');
       });
       waiters.push(waiter);
       queuedSince ??= clock.now();
       onWaiting();
-      admitWaiting();
+      admitWaiters();
     });
   }
 
   return {
     enter: (request) => {
-      if (mayRun(request)) {
-        begin(request);
+      if (canRun(request)) {
+        startRunning(request);
         return Promise.resolve('admitted');
       }
-      const longest = longestWait({
+      const maximumWait = longestWait({
         goal: request.goal,
         timeLeft: request.deadlineAt - clock.now(),
-        queuedFor: uses('shortQueueInOverload') ? queuedFor() : 0,
+        queuedFor: uses('shortQueueInOverload') ? calculateQueuedTime() : 0,
       });
-      return waitOf(request) > longest ? Promise.resolve('tooLate') : wait(request);
+      return estimateWait(request) > maximumWait ? Promise.resolve('tooLate') : enqueue(request);
     },
     leave: ({ hasConnection }) => {
       running -= 1;
-      if (!hasConnection) runningOnFree -= 1;
+      if (!hasConnection) runningOutsideTransactions -= 1;
       service.recordCompletion(expectedTime(), clock.now(), waiters.length > 0);
-      admitWaiting();
+      admitWaiters();
     },
     load: () => running + waiters.length,
     capacity: () => Math.min(limit, freeConnections()),
-    expectedWait: () => delay() + turnBehind(waiters.length),
-    hasRoom: () => mayRun({}),
-    review: admitWaiting,
+    expectedWait: () => delay() + estimateTurn(waiters.length),
+    hasRoom: () => canRun({}),
+    review: admitWaiters,
   };
 }
--- a/packages/gateway/src/lib/groups/statementRequest.ts
+++ b/packages/gateway/src/lib/groups/statementRequest.ts
@@ -4,25 +4,25 @@
 import type { Route } from '../configuration/gatewayConfiguration';
 import type { AskedAt } from './groupContext';
 
-/** What is known of a caller's session in its group. */
+/** State of a caller's session in its group. */
 export interface GroupSession {
   state: SessionState;
-  /** The session's last acknowledged commit, and when its answer was there. */
+  /** Last acknowledged commit of the session and when its answer arrived. */
   lastCommit: { position: Position; seenAt: number } | undefined;
 }
 
-/** One statement, or the beginning of a transaction, on its way to a member. */
+/** A statement, or the start of a transaction, to be sent to a member. */
 export interface StatementRequest {
   id: string;
   text: string;
   prepared?: { statement: PreparedStatement; argumentsText: string };
   session: GroupSession;
   route: Route;
-  /** Version of the configuration that the route is of. */
+  /** Version of the configuration that contains the route. */
   version: number;
-  /** When the caller's first byte had arrived. */
+  /** When the statement arrived. */
   arrived: AskedAt;
-  /** Steady time by which it must be answered. */
+  /** Deadline for the answer, in milliseconds of the monotonic clock. */
   deadlineAt: number;
 }
 
@@ -31,7 +31,7 @@
   return prepared ? prepared.statement.access === 'write' : text.startsWith('WRITE');
 }
 
-/** The command that runs a statement as its caller wrote it. */
+/** Creates the command that runs a statement unchanged. */
 export function toCommand(
   { id, text, prepared }: StatementRequest,
   after?: Position,
--- a/packages/gateway/src/lib/groups/transaction.ts
+++ b/packages/gateway/src/lib/groups/transaction.ts
@@ -1,126 +1,125 @@
 import type { UpstreamAnswer, UpstreamCommand } from '@wisterialift/pooling';
 import type { Position } from '@wisterialift/schema';
-import { attempt, recordLatency, runWithin } from './attempt';
-import { markAsked, noteLeaving, observeAnswer } from './groupContext';
+import { attemptCommand, recordLatency, runWithDeadline } from './attemptCommand';
+import { createEventStamp, logLeavingUse, observeAnswer } from './groupContext';
 import type { GroupAccess, OpenOptions, Transaction } from './groupAccess';
 import type { GroupContext } from './groupContext';
-import { giveBack } from './giveBack';
+import { releaseConnection } from './releaseConnection';
 import type { Member } from './member';
-import { patienceOf } from './primaryProof';
-import type { PrimaryProof } from './primaryProof';
-import type { ReadPath } from './readPath';
-import { refuse, refuseForNow, refuseUnplaced } from './refusals';
+import { calculatePollDelay } from './primaryVerifier';
+import type { PrimaryVerifier } from './primaryVerifier';
+import type { ReadRouter } from './readRouter';
+import { refuse, refuseForNow, refuseUnroutable } from './refusals';
 import { isWrite, toCommand } from './statementRequest';
 import type { StatementRequest } from './statementRequest';
 import { prepareConnection } from './upstreamPool';
 import type { PooledConnection } from './upstreamPool';
-import type { WritePath } from './writePath';
+import type { WriteRouter } from './writePath';
 
 export interface TransactionOpener {
   open: GroupAccess['openTransaction'];
 }
 
-/** Before the priorities of callers, which start at 0. */
+/** Higher than the priorities of callers, which start at 0. */
 const TRANSACTION_PRIORITY = -1;
 
-/** Pause before a statement that a busy member refused is sent again. */
-const BUSY_PAUSE_MILLISECONDS = 20;
+/** Pause before a statement that a busy member refused is retried. */
+const BUSY_RETRY_DELAY_MILLISECONDS = 20;
 
-/** How one statement of a transaction ended; `notSent` is possible for the first one alone. */
+/** Outcome of a statement in a transaction; only the first one can be `notSent`. */
 type StepOutcome =
   { type: 'answered'; answer: UpstreamAnswer } | { type: 'lost' } | { type: 'notSent' };
 
-interface OpenedAt {
+interface OpenedTransaction {
   member: Member;
   connection: PooledConnection;
-  /** Resolves with whether what it reads is current; nothing is answered before. */
+  /** Whether reads of the transaction are current; answers are held until this resolves. */
   isCurrent: Promise<boolean>;
 }
 
 export function createTransactionOpener(
   context: GroupContext,
-  paths: { reads: ReadPath; writes: WritePath; proof: PrimaryProof },
+  paths: { reads: ReadRouter; writes: WriteRouter; primaryVerifier: PrimaryVerifier },
 ): TransactionOpener {
   const { clock, logger, group } = context;
-  const { reads, writes, proof } = paths;
+  const { reads, writes, primaryVerifier } = paths;
 
   async function open(
     request: StatementRequest,
     { isReadOnly, began }: OpenOptions,
   ): Promise<{ transaction: Transaction } | { refusal: UpstreamAnswer }> {
-    const mayReadReplica = isReadOnly && request.route.consistency !== 'primary';
-    const opened = mayReadReplica
-      ? await openForReads(request)
-      : await openAtPrimary(request, { isReadOnly, began });
+    const canReadReplica = isReadOnly && request.route.consistency !== 'primary';
+    const opened = canReadReplica
+      ? await openOnReplica(request)
+      : await openOnPrimary(request, { isReadOnly, began });
     return 'refusal' in opened ? opened : { transaction: createTransaction(opened) };
   }
 
-  async function openForReads(
+  async function openOnReplica(
     request: StatementRequest,
-  ): Promise<OpenedAt | { refusal: UpstreamAnswer }> {
-    const toBegin = (after?: Position): UpstreamCommand => ({
+  ): Promise<OpenedTransaction | { refusal: UpstreamAnswer }> {
+    const createBeginCommand = (after?: Position): UpstreamCommand => ({
       type: 'begin',
       isReadOnly: true,
       after,
     });
-    const { answer, place } = await reads.place(request, toBegin);
-    if (!place) return { refusal: answer };
-    return { ...place, isCurrent: Promise.resolve(true) };
+    const { answer, routed } = await reads.run(request, createBeginCommand);
+    if (!routed) return { refusal: answer };
+    return { ...routed, isCurrent: Promise.resolve(true) };
   }
 
-  async function openAtPrimary(
+  async function openOnPrimary(
     request: StatementRequest,
     { isReadOnly, began }: OpenOptions,
-  ): Promise<OpenedAt | { refusal: UpstreamAnswer }> {
+  ): Promise<OpenedTransaction | { refusal: UpstreamAnswer }> {
     const { deadlineAt } = request;
     const command: UpstreamCommand = { type: 'begin', isReadOnly };
-    const ran = await writes.runAtPrimary(request, {
-      provesPrimary: !isReadOnly,
-      run: (member) => attempt(context, member, { request, command, deadlineAt }),
+    const result = await writes.runOnPrimary(request, {
+      isPrimaryOnly: !isReadOnly,
+      run: (member) => attemptCommand(context, member, { request, command, deadlineAt }),
     });
-    if (ran?.outcome.type !== 'answered') return { refusal: refuseBegin(request) };
-    const { member, outcome } = ran;
+    if (result?.outcome.type !== 'answered') return { refusal: refuseBegin(request) };
+    const { member, outcome } = result;
     const { answer, connection } = outcome;
     if (answer.outcome === 'refused' || !answer.position) {
-      giveBack(context, { member, connection, transaction: answer.transaction });
+      releaseConnection(context, { member, connection, transaction: answer.transaction });
       return { refusal: refuseBegin(request) };
     }
-    const isCurrent = proof.proveCurrent({
+    const isCurrent = primaryVerifier.verifyCurrent({
       member,
       term: answer.position.term,
       arrived: began,
       maximumStaleness: request.route.maximumStaleness,
-      patience: patienceOf(request.route),
+      pollDelay: calculatePollDelay(request.route),
       deadlineAt,
     });
     return { member, connection, isCurrent };
   }
 
   function refuseBegin(request: StatementRequest): UpstreamAnswer {
-    return refuseUnplaced(context, request, 'busy', 'no member can take the transaction');
+    return refuseUnroutable(context, request, 'busy', 'no member can take the transaction');
   }
 
-  function createTransaction({ member, connection, isCurrent }: OpenedAt): Transaction {
+  function createTransaction({ member, connection, isCurrent }: OpenedTransaction): Transaction {
     let hasWritten = false;
     let hasRun = false;
     let isEnded = false;
-    let work: Promise<unknown> = Promise.resolve();
+    let lastStep: Promise<unknown> = Promise.resolve();
     const unpin = member.pool.pin();
 
-    /** From here on the connection belongs to the pool again, or to nobody. */
+    /** Ends the transaction; its connection must not be used afterwards. */
     function end(): void {
       isEnded = true;
       unpin();
     }
 
     /**
-     * Takes one step after the other. A caller may leave while its commit is at the member; a
-     * roll-back beside it would give the connection back a second time, and two sessions would share
-     * it.
+     * Runs steps sequentially. A rollback during a commit would release the connection twice, and
+     * two sessions would share it.
      */
-    function inOrder<Value>(step: () => Promise<Value>): Promise<Value> {
-      const next = work.then(step);
-      work = next.catch(() => undefined);
+    function runInOrder<Value>(step: () => Promise<Value>): Promise<Value> {
+      const next = lastStep.then(step);
+      lastStep = next.catch(() => undefined);
       return next;
     }
 
@@ -129,48 +128,52 @@
       member.pool.discard(connection);
     }
 
-    async function runOnce(request: StatementRequest): Promise<StepOutcome> {
+    async function sendOnce(request: StatementRequest): Promise<StepOutcome> {
       const { session, prepared } = request;
-      const placedAt = clock.now();
-      const refused = await prepareWithin(request, session.state, prepared?.statement);
+      const queuedAt = clock.now();
+      const refused = await prepareForStatement(request, session.state, prepared?.statement);
       if (refused) return refused;
-      const deadlineAt = sendBy(request);
-      // The transaction holds a connection and locks, so its statements go before new ones.
+      const deadlineAt = calculateSendDeadline(request);
+      // The transaction holds a connection and locks, so its statements take priority.
       const { goal } = request.route;
-      const passage = {
+      const gateRequest = {
         priority: TRANSACTION_PRIORITY,
         goal,
         arrivedAt: clock.now(),
         deadlineAt,
         hasConnection: true,
       };
-      const admission = await member.gate.enter(passage);
-      if (admission !== 'admitted') return { type: mayBegin() ? 'lost' : 'notSent' };
-      if (!mayBegin()) {
-        member.gate.leave(passage);
+      const admission = await member.gate.enter(gateRequest);
+      if (admission !== 'admitted') return { type: canRun() ? 'lost' : 'notSent' };
+      if (!canRun()) {
+        member.gate.leave(gateRequest);
         return { type: 'notSent' };
       }
-      if (!hasRun) noteLeaving(context, member, { requestId: request.id, placedAt });
-      const asked = markAsked(context);
+      if (!hasRun) logLeavingUse(context, member, { requestId: request.id, queuedAt });
+      const sentStamp = createEventStamp(context);
       const command = toCommand(request);
-      const running = runWithin(context, { connection, command, deadlineAt: request.deadlineAt });
-      const outcome = await running.finally(() => member.gate.leave(passage));
-      recordLatency(context, member, asked, outcome);
-      if (outcome.type === 'answered') observeAnswer(context, member, asked, outcome.answer);
+      const running = runWithDeadline(context, {
+        connection,
+        command,
+        deadlineAt: request.deadlineAt,
+      });
+      const outcome = await running.finally(() => member.gate.leave(gateRequest));
+      recordLatency(context, member, sentStamp, outcome);
+      if (outcome.type === 'answered') observeAnswer(context, member, sentStamp, outcome.answer);
       hasRun ||= !isBusy(outcome);
       return outcome;
     }
 
-    /** An open transaction goes on at a member that leaves; it does not begin there too late. */
-    function mayBegin(): boolean {
-      return hasRun || context.leaving.mayTake(member);
+    /** Whether the transaction has run statements or the member still accepts new transactions. */
+    function canRun(): boolean {
+      return hasRun || context.leaving.canAccept(member);
     }
 
-    function sendBy({ deadlineAt }: StatementRequest): number {
-      return hasRun ? deadlineAt : context.leaving.sendBy(member, deadlineAt);
+    function calculateSendDeadline({ deadlineAt }: StatementRequest): number {
+      return hasRun ? deadlineAt : context.leaving.limitDeadline(member, deadlineAt);
     }
 
-    async function prepareWithin(
+    async function prepareForStatement(
       request: StatementRequest,
       ...[session, statement]: [
         StatementRequest['session']['state'],
@@ -193,12 +196,12 @@
 
     async function run(request: StatementRequest): Promise<UpstreamAnswer> {
       if (isEnded) return refuseAborted(request, 'the transaction has ended');
-      const outcome = await runPatiently(request);
-      if (outcome.type === 'notSent') return refuseFirst(request);
+      const outcome = await runWithBusyRetries(request);
+      if (outcome.type === 'notSent') return refuseFirstStatement(request);
       if (outcome.type === 'lost') {
         discard();
         context.suspectPrimary('silent', member);
-        // The connection is closed, and a member rolls back what a closed connection had begun.
+        // The member rolls the transaction back because the connection is closed.
         return refuseAborted(request, 'the member did not answer within the transaction');
       }
       if (isWrite(request)) hasWritten = true;
@@ -209,20 +212,20 @@
       return outcome.answer;
     }
 
-    /** Sends a statement again that a busy member did not run, while there is time. */
-    async function runPatiently(request: StatementRequest): Promise<StepOutcome> {
-      let outcome = await runOnce(request);
-      while (isBusy(outcome) && clock.now() + BUSY_PAUSE_MILLISECONDS < request.deadlineAt) {
-        await clock.pause(BUSY_PAUSE_MILLISECONDS);
-        outcome = await runOnce(request);
+    /** Retries a statement refused by a busy member until the deadline. */
+    async function runWithBusyRetries(request: StatementRequest): Promise<StepOutcome> {
+      let outcome = await sendOnce(request);
+      while (isBusy(outcome) && clock.now() + BUSY_RETRY_DELAY_MILLISECONDS < request.deadlineAt) {
+        await clock.pause(BUSY_RETRY_DELAY_MILLISECONDS);
+        outcome = await sendOnce(request);
       }
       return outcome;
     }
 
     async function commit(request: StatementRequest): Promise<UpstreamAnswer> {
       if (isEnded) return refuseAborted(request, 'the transaction has ended');
-      const outcome = await runPatiently(request);
-      if (outcome.type === 'notSent') return refuseFirst(request);
+      const outcome = await runWithBusyRetries(request);
+      if (outcome.type === 'notSent') return refuseFirstStatement(request);
       if (outcome.type === 'lost') {
         discard();
         context.suspectPrimary('silent', member);
@@ -231,13 +234,16 @@
       }
       const { answer } = outcome;
       end();
-      giveBack(context, { member, connection, transaction: answer.transaction });
-      if (!(await isCurrent)) return settleUnproved(request, answer);
-      return hasWritten ? writes.acknowledge(request, member, answer) : answer;
+      releaseConnection(context, { member, connection, transaction: answer.transaction });
+      if (!(await isCurrent)) return answerUnverifiedCommit(request, answer);
+      return hasWritten ? writes.confirmCommit(request, member, answer) : answer;
     }
 
-    /** Without a proof for what it read, a transaction that wrote is still settled by its commit. */
-    function settleUnproved(request: StatementRequest, answer: UpstreamAnswer): UpstreamAnswer {
+    /** Answers a commit whose reads could not be verified as current. */
+    function answerUnverifiedCommit(
+      request: StatementRequest,
+      answer: UpstreamAnswer,
+    ): UpstreamAnswer {
       if (answer.outcome === 'refused') return answer;
       if (!hasWritten) return refuseAborted(request, 'the primary may have been replaced');
       return refuse(context, request, 'unknownOutcome', 'the primary may have been replaced');
@@ -246,10 +252,10 @@
     function rollBack(): void {
       if (isEnded) return;
       end();
-      giveBack(context, { member, connection, transaction: 'open' });
+      releaseConnection(context, { member, connection, transaction: 'open' });
     }
 
-    function refuseFirst(request: StatementRequest): UpstreamAnswer {
+    function refuseFirstStatement(request: StatementRequest): UpstreamAnswer {
       rollBack();
       const answer = refuseForNow(context, request, 'aborted', 'the member is leaving');
       return { ...answer, transaction: 'failed' };
@@ -260,10 +266,10 @@
     }
 
     return {
-      run: (request) => inOrder(() => run(request)),
-      commit: (request) => inOrder(() => commit(request)),
+      run: (request) => runInOrder(() => run(request)),
+      commit: (request) => runInOrder(() => commit(request)),
       rollBack: () => {
-        void inOrder(async () => rollBack());
+        void runInOrder(async () => rollBack());
       },
     };
   }
--- a/packages/gateway/src/lib/groups/upstreamPool.ts
+++ b/packages/gateway/src/lib/groups/upstreamPool.ts
@@ -20,9 +20,9 @@
 import type { CancelTimer, Clock } from '../ports/clock';
 import type { UpstreamConnection, UpstreamDriver } from '../ports/upstreamPort';
 
-/** A connection and what was set on it. */
+/** An upstream connection and its session state. */
 export interface PooledConnection {
-  link: UpstreamConnection;
+  upstream: UpstreamConnection;
   state: ConnectionState;
   idleSince: number;
 }
@@ -30,29 +30,29 @@
 export interface AcquireOptions {
   session: SessionState;
   deadlineAt: number;
-  /** 0 goes first. */
+  /** Priority; lower values go first. */
   priority: number;
 }
 
 export interface UpstreamPool {
   /**
-   * @throws NoConnectionError where none is free in time.
-   * @throws UpstreamLostError where the member cannot be reached.
+   * @throws NoConnectionError if no connection is available before the deadline.
+   * @throws UpstreamLostError if the member cannot be reached.
    */
   acquire: (options: AcquireOptions) => Promise<PooledConnection>;
   release: (connection: PooledConnection) => void;
-  /** Closes a connection whose state or answer is not known any more. */
+  /** Closes a connection whose state is unknown or whose answer was lost. */
   discard: (connection: PooledConnection) => void;
-  /** Connections for statements outside of transactions, those that would be opened included. */
+  /** Number of connections for statements outside transactions, including ones not yet opened. */
   freeConnections: () => number;
-  /** Notes that a transaction holds one of the connections; the result ends that. */
+  /** Reserves a connection for a transaction; the returned function ends the reservation. */
   pin: () => () => void;
-  /** Statements wait that another connection could run. */
+  /** Raises the connection limit for waiting statements. */
   grow: () => void;
-  /** Milliseconds until a statement has a connection, where all that are open are idle. */
-  delay: () => number;
+  /** Estimates the milliseconds until a connection not held by a transaction is available. */
+  estimateDelay: () => number;
   setMaximum: (connections: number) => void;
-  /** Upkeep: opens what waits, closes idle connections that the last seconds did not need. */
+  /** Opens connections for waiting requests and closes surplus idle ones. */
   trim: () => void;
   close: () => void;
 }
@@ -64,14 +64,14 @@
   group: string;
   memberId: string;
   address: string;
-  /** Connections that this instance may always ask for; statements that wait raise them. */
+  /** Connections that this instance can open before waiting statements raise the limit. */
   fairShare: () => number;
   maximumConnections: number;
-  /** Whether idle connections are worth keeping. */
+  /** Whether this instance keeps idle connections up to its fair share. */
   isHolder: () => boolean;
   uses: UsesMechanism;
-  /** A connection is free again that a transaction held. */
-  onFreed: () => void;
+  /** Called when a transaction no longer holds a connection. */
+  onUnpinned: () => void;
   onUnreachable: (error: UpstreamLostError) => void;
 }
 
@@ -80,70 +80,66 @@
   fail: (error: Error) => void;
 }
 
-/**
- * Time for opening a connection: a handshake of some tens of milliseconds and three round trips; a
- * lost packet of the opening costs a second, and another member is asked sooner than that.
- */
+/** Less than a TCP retransmission of the first packet, since another member is tried sooner. */
 const CONNECT_TIMEOUT_MILLISECONDS = 700;
 
-/** Usual time of opening a connection, its way included. */
-const OPENING_MILLISECONDS = 60;
+/** Usual time to open a connection, including network. */
+const EXPECTED_CONNECT_MILLISECONDS = 60;
 
 /**
- * Idle time after which a connection above the fair share is closed, so that other instances get its
- * place. A new one costs its handshake; each kept one costs a place, which a member holds for seconds
- * more when the instance loses power.
+ * Idle time after which a connection above the fair share is closed. Short, so that other instances
+ * can use the connection slot.
  */
-const IDLE_MILLISECONDS = 250;
+const SHORT_IDLE_MILLISECONDS = 250;
 
-/** The same where other instances are not to be thought of. */
+/** Idle time limit when `closingIdle` is not in use. */
 const LONG_IDLE_MILLISECONDS = 1_500;
 
-/** Pause after a refusal for want of places, about the time in which another instance frees one. */
-const REFUSED_PAUSE_MILLISECONDS = 60;
+/** Pause after a member refused a connection because it has too many. */
+const REFUSAL_PAUSE_MILLISECONDS = 60;
 
-/** Time after a refusal in which an instance goes on with what it has, or asks for a first one. */
-const FULL_MILLISECONDS = 250;
+/** Time for which a refusal limits the pool to the connections it has, or to one. */
+const REFUSAL_MILLISECONDS = 250;
 
-/** Time that a member without places is expected to have none for an instance that has none. */
-const EXHAUSTED_MILLISECONDS = 500;
+/** Expected delay of a connection after a refusal if this instance has none to spare. */
+const EXPECTED_EXHAUSTION_MILLISECONDS = 500;
 
-/** While requests wait and the member has places, one more connection is allowed at this pace. */
-const GROWTH_MILLISECONDS = 100;
+/** Interval at which the limit is raised by one connection while requests wait. */
+const RAISE_PAUSE_MILLISECONDS = 100;
 
-/** Creates the connections of this instance to one member. */
+/** Creates a pool of this instance's connections to one member. */
 export function createUpstreamPool(options: UpstreamPoolOptions): UpstreamPool {
   const { driver, clock, logger, group, memberId, address, onUnreachable } = options;
   const connections = new Set<PooledConnection>();
   const idle: PooledConnection[] = [];
   const waiters: Waiter[] = [];
   let maximum = options.maximumConnections;
-  let grown = 0;
+  let raisedLimit = 0;
   let refusedAt = -Infinity;
-  let grownAt = -Infinity;
+  let raisedAt = -Infinity;
   let pausedUntil = -Infinity;
-  let opening = 0;
-  let pinned = 0;
+  let openingCount = 0;
+  let pinnedCount = 0;
   let isClosed = false;
 
   function acquire(request: AcquireOptions): Promise<PooledConnection> {
     const ready = takeIdle(request.session);
     if (ready) return Promise.resolve(ready);
     return new Promise((resolve, reject) => {
-      let cancelLimit: CancelTimer | undefined;
+      let cancelTimeout: CancelTimer | undefined;
       const waiter: Waiter = {
         ...request,
         arrivedAt: clock.now(),
         grant: (connection) => {
-          cancelLimit?.();
+          cancelTimeout?.();
           resolve(connection);
         },
         fail: (error) => {
-          cancelLimit?.();
+          cancelTimeout?.();
           reject(error);
         },
       };
-      cancelLimit = clock.after(request.deadlineAt - clock.now(), () => {
+      cancelTimeout = clock.after(request.deadlineAt - clock.now(), () => {
         removeWaiter(waiter);
         reject(new NoConnectionError(`no connection to ${memberId} in time`));
       });
@@ -152,14 +148,14 @@
     });
   }
 
-  /** The idle connection on which the session needs the fewest commands. */
+  /** Takes the idle connection that needs the fewest commands to match the session. */
   function takeIdle(session: SessionState): PooledConnection | undefined {
     let best: PooledConnection | undefined;
     let bestDifferences = Infinity;
-    // The one used last goes first: one that is idle for long may have gone silent meanwhile.
+    // Prefer recently used connections, because long-idle ones are more likely to be dead.
     for (const candidate of idle.toReversed()) {
       const differences = countDifferences(session, candidate.state);
-      if (candidate.link.isOpen() && differences < bestDifferences) {
+      if (candidate.upstream.isOpen() && differences < bestDifferences) {
         best = candidate;
         bestDifferences = differences;
       }
@@ -170,19 +166,23 @@
 
   function openForWaiters(): void {
     if (clock.now() < pausedUntil) return;
-    if (waiters.length > 0) growAllowance();
-    while (opening < waiters.length && connections.size + opening < capacity() && !isClosed) {
-      opening += 1;
+    if (waiters.length > 0) raiseLimit();
+    while (
+      openingCount < waiters.length &&
+      connections.size + openingCount < calculateCapacity() &&
+      !isClosed
+    ) {
+      openingCount += 1;
       void openConnection();
     }
   }
 
-  function growAllowance(): void {
+  function raiseLimit(): void {
     const now = clock.now();
-    if (connections.size + opening < capacity()) return;
-    if (now - refusedAt < FULL_MILLISECONDS || now - grownAt < GROWTH_MILLISECONDS) return;
-    grown = Math.min(maximum, capacity() + 1);
-    grownAt = now;
+    if (connections.size + openingCount < calculateCapacity()) return;
+    if (now - refusedAt < REFUSAL_MILLISECONDS || now - raisedAt < RAISE_PAUSE_MILLISECONDS) return;
+    raisedLimit = Math.min(maximum, calculateCapacity() + 1);
+    raisedAt = now;
   }
 
   async function openConnection(): Promise<void> {
@@ -193,30 +193,29 @@
         address,
         timeoutMilliseconds: CONNECT_TIMEOUT_MILLISECONDS,
       };
-      const link = await driver.connect(target);
-      opening -= 1;
+      const upstream = await driver.connect(target);
+      openingCount -= 1;
       if (isClosed) {
-        link.close();
+        upstream.close();
         return;
       }
-      const connection = { link, state: createConnectionState(), idleSince: clock.now() };
+      const connection = { upstream, state: createConnectionState(), idleSince: clock.now() };
       connections.add(connection);
-      offer(connection);
+      assignConnection(connection);
     } catch (error) {
-      opening -= 1;
+      openingCount -= 1;
       handleOpenFailure(error as Error);
     }
   }
 
   function handleOpenFailure(error: Error): void {
     if (error instanceof UpstreamRefusedError && error.reason === 'tooManyConnections') {
-      // The other instances hold the rest of the places; asking again at once would only cost the
-      // member a place in its queue, so this instance lives with what it has for a while.
-      grown = connections.size;
+      // Other instances hold the remaining connections, and retrying at once would load the member.
+      raisedLimit = connections.size;
       refusedAt = clock.now();
-      pausedUntil = clock.now() + REFUSED_PAUSE_MILLISECONDS;
+      pausedUntil = clock.now() + REFUSAL_PAUSE_MILLISECONDS;
       logger.warn('connectionPlacesExhausted', { group, memberId, open: connections.size });
-      clock.after(REFUSED_PAUSE_MILLISECONDS, openForWaiters);
+      clock.after(REFUSAL_PAUSE_MILLISECONDS, openForWaiters);
       return;
     }
     logger.warn('connectionNotOpened', { group, memberId, error });
@@ -227,7 +226,7 @@
     for (const waiter of waiters.splice(0)) waiter.fail(failure);
   }
 
-  function offer(connection: PooledConnection): void {
+  function assignConnection(connection: PooledConnection): void {
     const next = takeWaiter();
     if (next) {
       next.grant(connection);
@@ -249,53 +248,53 @@
   }
 
   function release(connection: PooledConnection): void {
-    if (!connection.link.isOpen() || isClosed) {
+    if (!connection.upstream.isOpen() || isClosed) {
       discard(connection);
       return;
     }
-    offer(connection);
+    assignConnection(connection);
   }
 
   function discard(connection: PooledConnection): void {
     connections.delete(connection);
     const index = idle.indexOf(connection);
     if (index >= 0) idle.splice(index, 1);
-    connection.link.close();
+    connection.upstream.close();
     openForWaiters();
   }
 
-  /** After a refusal no more than it has, and one that it goes on asking for. */
-  function capacity(): number {
-    const isRefused = clock.now() - refusedAt < FULL_MILLISECONDS;
+  /** Returns the current connection limit; at least one, so that an empty pool keeps retrying. */
+  function calculateCapacity(): number {
+    const isRefused = clock.now() - refusedAt < REFUSAL_MILLISECONDS;
     const share = isRefused ? 1 : options.fairShare();
-    return Math.max(1, Math.min(maximum, Math.max(share, grown)));
+    return Math.max(1, Math.min(maximum, Math.max(share, raisedLimit)));
   }
 
   function pin(): () => void {
-    pinned += 1;
+    pinnedCount += 1;
     let isPinned = true;
     return () => {
       if (!isPinned) return;
       isPinned = false;
-      pinned -= 1;
-      options.onFreed();
+      pinnedCount -= 1;
+      options.onUnpinned();
     };
   }
 
-  function delay(): number {
-    if (connections.size > pinned) return 0;
-    return clock.now() - refusedAt < EXHAUSTED_MILLISECONDS
-      ? EXHAUSTED_MILLISECONDS
-      : OPENING_MILLISECONDS;
+  function estimateDelay(): number {
+    if (connections.size > pinnedCount) return 0;
+    return clock.now() - refusedAt < EXPECTED_EXHAUSTION_MILLISECONDS
+      ? EXPECTED_EXHAUSTION_MILLISECONDS
+      : EXPECTED_CONNECT_MILLISECONDS;
   }
 
   function trim(): void {
     openForWaiters();
     for (const connection of [...idle]) {
-      const limit = options.uses('closingIdle') ? IDLE_MILLISECONDS : LONG_IDLE_MILLISECONDS;
+      const limit = options.uses('closingIdle') ? SHORT_IDLE_MILLISECONDS : LONG_IDLE_MILLISECONDS;
       const isStale = clock.now() - connection.idleSince > limit;
       const isSpare = idle.length > (options.isHolder() ? options.fairShare() : 0) && isStale;
-      if (isSpare || !connection.link.isOpen()) discard(connection);
+      if (isSpare || !connection.upstream.isOpen()) discard(connection);
     }
   }
 
@@ -303,30 +302,29 @@
     acquire,
     release,
     discard,
-    freeConnections: () => Math.max(0, capacity() - pinned),
+    freeConnections: () => Math.max(0, calculateCapacity() - pinnedCount),
     pin,
-    grow: growAllowance,
-    delay,
+    grow: raiseLimit,
+    estimateDelay,
     setMaximum: (value) => {
       maximum = value;
-      grown = Math.min(grown, value);
+      raisedLimit = Math.min(raisedLimit, value);
     },
     trim,
     close: () => {
       isClosed = true;
-      for (const waiter of waiters.splice(0)) waiter.fail(new UpstreamLostError('the member left'));
-      for (const connection of idle.splice(0)) connection.link.close();
+      for (const waiter of waiters.splice(0)) waiter.fail(new UpstreamLostError('pool is closed'));
+      for (const connection of idle.splice(0)) connection.upstream.close();
     },
   };
 }
 
 /**
- * Gives a connection the state that a statement needs.
+ * Brings a connection into the state that a statement requires.
  *
- * The commands go out together and the statement after their answers, so that a statement never
- * runs under other values than its session's.
+ * Send the statement only after this resolves, so that it cannot see another session's values.
  *
- * @returns the first refusal, or undefined where the connection is ready.
+ * @returns the first refusal, or undefined if the connection is ready.
  */
 export async function prepareConnection(
   connection: PooledConnection,
@@ -335,7 +333,7 @@
 ): Promise<UpstreamAnswer | undefined> {
   const commands = planPreparation({ session, connection: connection.state, statement });
   if (commands.length === 0) return undefined;
-  const answers = await Promise.all(commands.map((command) => connection.link.run(command)));
+  const answers = await Promise.all(commands.map((command) => connection.upstream.run(command)));
   const refused = answers.find(({ outcome }) => outcome === 'refused');
   if (refused) return refused;
   for (const command of commands) applyPreparation(connection.state, command);
--- a/packages/gateway/src/lib/groups/writePath.ts
+++ b/packages/gateway/src/lib/groups/writePath.ts
@@ -1,48 +1,47 @@
 import { settleWrite } from '@wisterialift/pooling';
 import type { FailureReason, TermOrigin, UpstreamAnswer, WriteFate } from '@wisterialift/pooling';
 import type { Position } from '@wisterialift/schema';
-import { attempt } from './attempt';
-import type { AttemptOutcome } from './attempt';
+import { attemptCommand } from './attemptCommand';
+import type { AttemptOutcome } from './attemptCommand';
 import type { GroupContext } from './groupContext';
-import { giveBack } from './giveBack';
+import { releaseConnection } from './releaseConnection';
 import type { Member } from './member';
-import { patienceOf } from './primaryProof';
-import type { PrimaryProof } from './primaryProof';
-import { refuse, refuseUnplaced } from './refusals';
+import { calculatePollDelay } from './primaryVerifier';
+import type { PrimaryVerifier } from './primaryVerifier';
+import { refuse, refuseUnroutable } from './refusals';
 import { toCommand } from './statementRequest';
 import type { StatementRequest } from './statementRequest';
 
-export interface WritePath {
-  /** Runs one write outside of a transaction. */
+export interface WriteRouter {
+  /** Runs one write outside a transaction. */
   write: (request: StatementRequest) => Promise<UpstreamAnswer>;
   /**
-   * Runs attempts at the primary until one was answered with anything but "did not run".
+   * Repeats a command at the primary until it may have run or the deadline has passed.
    *
-   * @param options.provesPrimary - whether only a primary completes the command. A replica begins a
-   *   read-only transaction as well; taken for a primary by that, its log would pass for the newest.
+   * @param options.isPrimaryOnly - whether only a primary completes the command, so that its answer
+   *   confirms it. A replica also begins read-only transactions, which confirms nothing.
    */
-  runAtPrimary: (
+  runOnPrimary: (
     request: StatementRequest,
     options: {
-      provesPrimary: boolean;
+      isPrimaryOnly: boolean;
       run: (member: Member) => Promise<AttemptOutcome>;
     },
   ) => Promise<{ member: Member; outcome: AttemptOutcome } | undefined>;
-  /** Holds the answer to a commit until it cannot be lost, or says what became of it. */
-  acknowledge: (
+  /** Holds a commit's answer until the commit is replicated or its outcome is otherwise known. */
+  confirmCommit: (
     request: StatementRequest,
     member: Member,
     answer: UpstreamAnswer,
   ) => Promise<UpstreamAnswer>;
 }
 
-/** Pause after "did not run" before the primary is asked again: about one statement's time. */
-const BUSY_PAUSE_MILLISECONDS = 20;
+/** Pause before a command that did not run is retried: about the duration of one statement. */
+const BUSY_RETRY_DELAY_MILLISECONDS = 20;
 
 /**
- * Time that a commit's answer is held at the most, unless its route allows more. A change of primary
- * takes about that long, and settles the commit as kept or discarded; before it, the caller could
- * only be told that the outcome is unknown, and would have to give the operation up.
+ * Time for which a commit's answer is held at most, unless the route's timeout is longer. Covers a
+ * change of primary, after which the outcome of the commit is known.
  */
 export const HOLD_MILLISECONDS = 3_500;
 
@@ -53,50 +52,53 @@
   'unknownStatement',
 ]);
 
-export function createWritePath(
+export function createWriteRouter(
   context: GroupContext,
-  options: { proof: PrimaryProof; readTermOrigin: () => Promise<TermOrigin | undefined> },
-): WritePath {
+  options: {
+    primaryVerifier: PrimaryVerifier;
+    readTermOrigin: () => Promise<TermOrigin | undefined>;
+  },
+): WriteRouter {
   const { belief, clock, counters, group, leaving, logger } = context;
-  const { proof, readTermOrigin } = options;
+  const { primaryVerifier, readTermOrigin } = options;
 
   async function write(request: StatementRequest): Promise<UpstreamAnswer> {
     const command = toCommand(request);
     const { deadlineAt } = request;
-    const ran = await runAtPrimary(request, {
-      provesPrimary: true,
-      run: (member) => attempt(context, member, { request, command, deadlineAt }),
+    const result = await runOnPrimary(request, {
+      isPrimaryOnly: true,
+      run: (member) => attemptCommand(context, member, { request, command, deadlineAt }),
     });
-    if (!ran) return refuseUnplaced(context, request, 'busy', 'no primary can take the write');
-    const { member, outcome } = ran;
+    if (!result) return refuseUnroutable(context, request, 'busy', 'no primary can take the write');
+    const { member, outcome } = result;
     if (outcome.type !== 'answered') {
       return refuse(context, request, 'unknownOutcome', 'the primary did not answer the write');
     }
     const { answer, connection } = outcome;
-    giveBack(context, { member, connection, transaction: answer.transaction });
-    return acknowledge(request, member, answer);
+    releaseConnection(context, { member, connection, transaction: answer.transaction });
+    return confirmCommit(request, member, answer);
   }
 
-  const mayStillRun = ({ deadlineAt }: StatementRequest) =>
-    clock.now() < deadlineAt && !proof.isStalled() && !leaving.isGroupClosed();
+  const canStillRun = ({ deadlineAt }: StatementRequest) =>
+    clock.now() < deadlineAt && !primaryVerifier.isStalled() && !leaving.isGroupClosed();
 
-  async function runAtPrimary(
+  async function runOnPrimary(
     request: StatementRequest,
-    { provesPrimary, run }: Parameters<WritePath['runAtPrimary']>[1],
+    { isPrimaryOnly, run }: Parameters<WriteRouter['runOnPrimary']>[1],
   ): Promise<{ member: Member; outcome: AttemptOutcome } | undefined> {
-    while (mayStillRun(request)) {
+    while (canStillRun(request)) {
       const member = belief.find();
-      if (!member || member.avoidUntil > clock.now() || !leaving.mayTake(member)) {
+      if (!member || member.avoidUntil > clock.now() || !leaving.canAccept(member)) {
         if (!member) context.suspectPrimary('absent', undefined);
         await belief.waitForChange(
-          Math.min(BUSY_PAUSE_MILLISECONDS, request.deadlineAt - clock.now()),
+          Math.min(BUSY_RETRY_DELAY_MILLISECONDS, request.deadlineAt - clock.now()),
         );
         continue;
       }
       const outcome = await run(member);
-      if (!isNotRun(outcome)) {
+      if (!isSafeToRetry(outcome)) {
         if (outcome.type === 'lost') context.suspectPrimary('silent', member);
-        if (provesPrimary) noteProof(member, outcome);
+        if (isPrimaryOnly) recordConfirmation(member, outcome);
         return { member, outcome };
       }
       if (outcome.type === 'notSent' && outcome.cause === 'noCapacity') return undefined;
@@ -106,10 +108,10 @@
     return undefined;
   }
 
-  function noteProof(member: Member, outcome: AttemptOutcome): void {
+  function recordConfirmation(member: Member, outcome: AttemptOutcome): void {
     if (outcome.type !== 'answered' || outcome.answer.outcome !== 'completed') return;
     const { position } = outcome.answer;
-    if (position) belief.provePrimary(member.entry.memberId, position.term);
+    if (position) belief.confirmPrimary(member.entry.memberId, position.term);
   }
 
   async function handleNotRun(member: Member, outcome: AttemptOutcome): Promise<void> {
@@ -118,15 +120,15 @@
     }
     if (outcome.type === 'answered') {
       const { transaction } = outcome.answer;
-      giveBack(context, { member, connection: outcome.connection, transaction });
+      releaseConnection(context, { member, connection: outcome.connection, transaction });
       const isReplica =
         outcome.answer.outcome === 'refused' && outcome.answer.reason === 'readOnly';
-      if (isReplica) belief.denyPrimary(member, outcome.answer.position?.term ?? 0);
+      if (isReplica) belief.rejectPrimary(member, outcome.answer.position?.term ?? 0);
     }
-    await belief.waitForChange(BUSY_PAUSE_MILLISECONDS);
+    await belief.waitForChange(BUSY_RETRY_DELAY_MILLISECONDS);
   }
 
-  async function acknowledge(
+  async function confirmCommit(
     request: StatementRequest,
     member: Member,
     answer: UpstreamAnswer,
@@ -136,10 +138,15 @@
       return refuse(context, request, 'unknownOutcome', 'the primary told no position');
     }
     const { position } = answer;
-    const patience = patienceOf(request.route);
+    const pollDelay = calculatePollDelay(request.route);
     const deadlineAt = Math.max(request.deadlineAt, request.arrived.at + HOLD_MILLISECONDS);
-    const copied = await proof.proveCopied({ member, position, patience, deadlineAt });
-    const fate = copied === 'superseded' ? await settle(request, position) : copied;
+    const copied = await primaryVerifier.verifyReplicated({
+      member,
+      position,
+      pollDelay,
+      deadlineAt,
+    });
+    const fate = copied === 'superseded' ? await settleSupersededWrite(request, position) : copied;
     if (fate === 'copied' || fate === 'kept') {
       request.session.lastCommit = { position, seenAt: clock.now() };
       return answer;
@@ -160,18 +167,21 @@
     );
   }
 
-  async function settle(request: StatementRequest, position: Position): Promise<WriteFate> {
+  async function settleSupersededWrite(
+    request: StatementRequest,
+    position: Position,
+  ): Promise<WriteFate> {
     const termOrigin = await readTermOrigin();
     const fate = settleWrite(position, termOrigin);
     logger.info('heldWriteSettled', { group, requestId: request.id, position, termOrigin, fate });
     return fate;
   }
 
-  return { write, runAtPrimary, acknowledge };
+  return { write, runOnPrimary, confirmCommit };
 }
 
-/** Whether it is certain that the statement did not run, so that it may be sent again. */
-function isNotRun(outcome: AttemptOutcome): boolean {
+/** Whether the statement certainly did not run and can be retried. */
+function isSafeToRetry(outcome: AttemptOutcome): boolean {
   if (outcome.type === 'notSent') return true;
   if (outcome.type === 'lost' || outcome.answer.outcome === 'completed') return false;
   return NOT_RUN_REASONS.has(outcome.answer.reason);
