--- a/packages/gateway/src/lib/groups/attemptCommand.ts
+++ b/packages/gateway/src/lib/groups/attemptCommand.ts
@@ -41,7 +41,7 @@
 ): Promise<AttemptOutcome> {
   const { request, command, queueTimeout } = options;
   const { gate } = member;
-  const deadlineAt = context.leaving.limitDeadline(member, options.deadlineAt);
+  const deadlineAt = context.leavingPolicy.limitDeadline(member, options.deadlineAt);
   const takesSlot = command.type !== 'begin';
   const queuedAt = context.clock.now();
   const { priority, goal } = request.route;
@@ -63,11 +63,11 @@
   options: AttemptOptions & { queuedAt: number },
 ): Promise<AttemptOutcome> {
   const { request, command, deadlineAt, queuedAt } = options;
-  const sendDeadlineAt = context.leaving.limitDeadline(member, deadlineAt);
+  const sendDeadlineAt = context.leavingPolicy.limitDeadline(member, deadlineAt);
   const acquired = await acquireConnection(context, member, request, sendDeadlineAt);
   if ('type' in acquired) return acquired;
   // The member may have reached its leaving time limit while the command was queued.
-  if (!context.leaving.canAccept(member)) {
+  if (!context.leavingPolicy.canAccept(member)) {
     member.pool.release(acquired);
     return { type: 'notSent', cause: 'leaving' };
   }
--- a/packages/gateway/src/lib/groups/groupContext.ts
+++ b/packages/gateway/src/lib/groups/groupContext.ts
@@ -21,7 +21,7 @@
   /** Reports a suspected failure of the primary to the promotion task. */
   suspectPrimary: (cause: SuspicionCause, member: Member | undefined) => void;
   counters: GroupCounters;
-  leaving: LeavingMemberPolicy;
+  leavingPolicy: LeavingMemberPolicy;
   uses: UsesMechanism;
   /** Returns a uniformly distributed number in [0, 1). */
   random: () => number;
--- a/packages/gateway/src/lib/groups/groupTask.ts
+++ b/packages/gateway/src/lib/groups/groupTask.ts
@@ -22,7 +22,7 @@
 import { createReadRouter } from './readRouter';
 import { toCommand } from './statementRequest';
 import type { StatementRequest } from './statementRequest';
-import { createTransactionOpener } from './transaction';
+import { createTransactionOpener } from './transactionOpener';
 import { createUpstreamPool } from './upstreamPool';
 import { createWriteRouter } from './writePath';
 
@@ -119,7 +119,7 @@
     logger,
     driver,
     counters,
-    leaving: leavingPolicy,
+    leavingPolicy,
     uses,
     random: options.random,
     suspectPrimary: (cause, member) => onSuspicion(cause, member),
--- a/packages/gateway/src/lib/groups/readCandidates.ts
+++ b/packages/gateway/src/lib/groups/readCandidates.ts
@@ -42,7 +42,7 @@
   context: GroupContext,
   verifier: PrimaryVerifier,
 ): ReadCandidates {
-  const { belief, clock, evidence, leaving, members, uses } = context;
+  const { belief, clock, evidence, leavingPolicy, members, uses } = context;
 
   function rank(request: StatementRequest, fullMembers: ReadonlySet<Member>): ReadCandidate[] {
     const now = clock.now();
@@ -51,7 +51,7 @@
     const candidates = [...members.values()]
       .filter((member) => (member === primary ? !verifier.isStalled() : required !== undefined))
       .filter((member) => !fullMembers.has(member) && member.avoidUntil <= now)
-      .filter((member) => !isUnavailableReplica(member, primary) && leaving.canAccept(member))
+      .filter((member) => !isUnavailableReplica(member, primary) && leavingPolicy.canAccept(member))
       .map((member) => ({
         memberId: member.entry.memberId,
         member,
--- a/packages/gateway/src/lib/groups/readRouter.ts
+++ b/packages/gateway/src/lib/groups/readRouter.ts
@@ -69,7 +69,7 @@
     readPositions: ReadPositionRefresher;
   },
 ): ReadRouter {
-  const { belief, clock, counters, evidence, leaving, logger, group, uses } = context;
+  const { belief, clock, counters, evidence, leavingPolicy, logger, group, uses } = context;
   const candidates = createReadCandidates(context, verifier);
   const hedgedReads = createHedgedReads(context);
 
@@ -82,7 +82,7 @@
     createCommand: ReadCommandFactory,
   ): Promise<{ answer: UpstreamAnswer; routed?: RoutedRead }> {
     hedgedReads.recordRead();
-    if (leaving.isGroupClosed()) return { answer: refuseRead(request) };
+    if (leavingPolicy.isGroupClosed()) return { answer: refuseRead(request) };
     if (canUseReplica(request) && !candidates.hasPosition(request)) await readPositions.refresh();
     const search: ReadSearch = { fullMembers: new Set(), hasRefreshedReadPosition: false };
     for (;;) {
@@ -113,7 +113,7 @@
     request: StatementRequest,
     search: ReadSearch,
   ): Promise<RankedCandidates | undefined> {
-    while (timeLeftOf(request) > 0 && !leaving.isGroupClosed()) {
+    while (timeLeftOf(request) > 0 && !leavingPolicy.isGroupClosed()) {
       const all = candidates.rank(request, search.fullMembers);
       const [first, second] = all.filter(({ wait }) => wait <= timeLeftOf(request));
       if (!first && all.length > 0) return undefined;
--- a/packages/gateway/src/lib/groups/refusals.ts
+++ b/packages/gateway/src/lib/groups/refusals.ts
@@ -6,7 +6,7 @@
 
 /** Counters, logging and, if available, the state of the group. */
 type RefusalContext = Pick<GroupContext, 'clock' | 'counters' | 'group' | 'logger' | 'random'> &
-  Partial<Pick<GroupContext, 'belief' | 'evidence' | 'leaving' | 'members'>>;
+  Partial<Pick<GroupContext, 'belief' | 'evidence' | 'leavingPolicy' | 'members'>>;
 
 /** Creates, counts and logs a refusal by this instance. */
 export function refuse(
@@ -56,7 +56,7 @@
   reason: FailureReason,
   detail: string,
 ): UpstreamAnswer {
-  if (context.leaving.isGroupClosed()) return refuseClosedGroup(context, request);
+  if (context.leavingPolicy.isGroupClosed()) return refuseClosedGroup(context, request);
   return refuseForNow(context, request, reason, detail);
 }
 
@@ -67,9 +67,9 @@
   return refuse(context, request, 'busy', detail);
 }
 
-function findShortestWait({ clock, leaving, members }: RefusalContext): number | undefined {
+function findShortestWait({ clock, leavingPolicy, members }: RefusalContext): number | undefined {
   const waits = [...(members?.values() ?? [])]
-    .filter((member) => member.avoidUntil <= clock.now() && leaving?.canAccept(member))
+    .filter((member) => member.avoidUntil <= clock.now() && leavingPolicy?.canAccept(member))
     .map(({ gate }) => gate.expectedWait());
   return waits.length > 0 ? Math.min(...waits) : undefined;
 }
--- a/packages/gateway/src/lib/groups/transaction.ts
+++ b/packages/gateway/src/lib/groups/transactionOpener.ts
@@ -166,11 +166,11 @@
 
     /** Whether the transaction has run statements or the member still accepts new transactions. */
     function canRun(): boolean {
-      return hasRun || context.leaving.canAccept(member);
+      return hasRun || context.leavingPolicy.canAccept(member);
     }
 
     function calculateSendDeadline({ deadlineAt }: StatementRequest): number {
-      return hasRun ? deadlineAt : context.leaving.limitDeadline(member, deadlineAt);
+      return hasRun ? deadlineAt : context.leavingPolicy.limitDeadline(member, deadlineAt);
     }
 
     async function prepareForStatement(
--- a/packages/gateway/src/lib/groups/writePath.ts
+++ b/packages/gateway/src/lib/groups/writePath.ts
@@ -59,7 +59,7 @@
     readTermOrigin: () => Promise<TermOrigin | undefined>;
   },
 ): WriteRouter {
-  const { belief, clock, counters, group, leaving, logger } = context;
+  const { belief, clock, counters, group, leavingPolicy, logger } = context;
   const { primaryVerifier, readTermOrigin } = options;
 
   async function write(request: StatementRequest): Promise<UpstreamAnswer> {
@@ -80,7 +80,7 @@
   }
 
   const canStillRun = ({ deadlineAt }: StatementRequest) =>
-    clock.now() < deadlineAt && !primaryVerifier.isStalled() && !leaving.isGroupClosed();
+    clock.now() < deadlineAt && !primaryVerifier.isStalled() && !leavingPolicy.isGroupClosed();
 
   async function runOnPrimary(
     request: StatementRequest,
@@ -88,7 +88,7 @@
   ): Promise<{ member: Member; outcome: AttemptOutcome } | undefined> {
     while (canStillRun(request)) {
       const member = belief.find();
-      if (!member || member.avoidUntil > clock.now() || !leaving.canAccept(member)) {
+      if (!member || member.avoidUntil > clock.now() || !leavingPolicy.canAccept(member)) {
         if (!member) context.suspectPrimary('absent', undefined);
         await belief.waitForChange(
           Math.min(BUSY_RETRY_DELAY_MILLISECONDS, request.deadlineAt - clock.now()),
