--- a/packages/gateway/src/lib/groups/attemptCommand.ts
+++ b/packages/gateway/src/lib/groups/attemptCommand.ts
@@ -1,7 +1,7 @@
 import type { UpstreamAnswer, UpstreamCommand } from '@wisterialift/pooling';
 import { NoConnectionError } from '../errors/noConnectionError';
 import { settleWithin } from '../timing/withinTime';
-import { createEventStamp, logLeavingUse, observeAnswer } from './groupContext';
+import { createSequencedTime, logIfLeaving, observeAnswer } from './groupContext';
 import type { AskedAt, GroupContext } from './groupContext';
 import { backOffFromMember } from './member';
 import type { Member } from './member';
@@ -40,20 +40,28 @@
   options: AttemptOptions,
 ): Promise<AttemptOutcome> {
   const { request, command, queueTimeout } = options;
-  const { gate } = member;
+  const { admission } = member;
   const deadlineAt = context.leavingPolicy.limitDeadline(member, options.deadlineAt);
-  const takesSlot = command.type !== 'begin';
+  const isAdmissionRequired = command.type !== 'begin';
   const queuedAt = context.clock.now();
   const { priority, goal } = request.route;
-  const gateRequest = { priority, goal, arrivedAt: request.arrived.at, deadlineAt, queueTimeout };
-  const admission = takesSlot ? await gate.enter(gateRequest) : 'admitted';
-  if (admission !== 'admitted') {
-    return { type: 'notSent', cause: admission === 'notYet' ? 'notYet' : 'noCapacity' };
+  const admissionRequest = {
+    priority,
+    goal,
+    arrivedAt: request.arrived.at,
+    deadlineAt,
+    queueTimeout,
+  };
+  const admissionResult = isAdmissionRequired
+    ? await admission.enter(admissionRequest)
+    : 'admitted';
+  if (admissionResult !== 'admitted') {
+    return { type: 'notSent', cause: admissionResult === 'notYet' ? 'notYet' : 'noCapacity' };
   }
   try {
     return await attemptAdmitted(context, member, { ...options, queuedAt });
   } finally {
-    if (takesSlot) gate.leave(gateRequest);
+    if (isAdmissionRequired) admission.leave(admissionRequest);
   }
 }
 
@@ -71,8 +79,8 @@
     member.pool.release(acquired);
     return { type: 'notSent', cause: 'leaving' };
   }
-  if (command.type !== 'begin') logLeavingUse(context, member, { requestId: request.id, queuedAt });
-  const sentStamp = createEventStamp(context);
+  if (command.type !== 'begin') logIfLeaving(context, member, { requestId: request.id, queuedAt });
+  const sentStamp = createSequencedTime(context);
   const outcome = await runWithDeadline(context, { connection: acquired, command, deadlineAt });
   if (command.type !== 'begin') recordLatency(context, member, sentStamp, outcome);
   if (outcome.type === 'lost') {
--- a/packages/gateway/src/lib/groups/evidencePoller.ts
+++ b/packages/gateway/src/lib/groups/evidencePoller.ts
@@ -3,7 +3,10 @@
 import type { GroupContext } from './groupContext';
 import type { Member } from './member';
 
-/** Polls replicas for evidence that regular answers have not provided. */
+/**
+ * Polls replicas when regular answers have not shown that the primary is current or a commit is
+ * replicated.
+ */
 export interface EvidencePoller {
   /**
    * Polls after `delay` milliseconds and then repeatedly.
@@ -20,39 +23,39 @@
 /** Time limit of a poll, after which another replica is polled. */
 const POLL_TIMEOUT_MILLISECONDS = 400;
 
-interface Wait {
+interface PollRequest {
   dueAt: number;
-  pollCount: number;
+  round: number;
 }
 
 /** Creates a poller in which one poll serves all waiting statements. */
 export function createEvidencePoller(context: GroupContext): EvidencePoller {
   const { belief, members, clock } = context;
-  const waits = new Set<Wait>();
+  const pollRequests = new Set<PollRequest>();
   let cancelNextPoll: CancelTimer | undefined;
   let isPolling = false;
 
   function schedule(): void {
     cancelNextPoll?.();
-    if (isPolling || waits.size === 0) return;
-    const dueAt = Math.min(...[...waits].map((wait) => wait.dueAt));
+    if (isPolling || pollRequests.size === 0) return;
+    const dueAt = Math.min(...[...pollRequests].map((request) => request.dueAt));
     cancelNextPoll = clock.after(dueAt - clock.now(), () => {
       void poll();
     });
   }
 
   async function poll(): Promise<void> {
-    const polledWaits = [...waits];
-    const member = chooseReplica(Math.max(...polledWaits.map((wait) => wait.pollCount)));
+    const polled = [...pollRequests];
+    const member = chooseReplica(Math.max(...polled.map((request) => request.round)));
     isPolling = true;
     if (member) await askMember(context, member, { type: 'status' }, POLL_TIMEOUT_MILLISECONDS);
     isPolling = false;
     const dueAt = clock.now() + POLL_INTERVAL_MILLISECONDS;
-    for (const wait of polledWaits) Object.assign(wait, { dueAt, pollCount: wait.pollCount + 1 });
+    for (const request of polled) Object.assign(request, { dueAt, round: request.round + 1 });
     schedule();
   }
 
-  /** Chooses replicas in turn by ascending latency, and reachable ones if there are any. */
+  /** Cycles through the replicas by ascending latency, skipping those in backoff unless all are. */
   function chooseReplica(round: number): Member | undefined {
     const primary = belief.find();
     const replicas = [...members.values()]
@@ -60,18 +63,18 @@
       .sort(
         (left, right) => left.latency.current(clock.now()) - right.latency.current(clock.now()),
       );
-    const reachable = replicas.filter(({ avoidUntil }) => avoidUntil <= clock.now());
-    const candidates = reachable.length > 0 ? reachable : replicas;
+    const notInBackoff = replicas.filter(({ avoidUntil }) => avoidUntil <= clock.now());
+    const candidates = notInBackoff.length > 0 ? notInBackoff : replicas;
     return candidates[round % Math.max(1, candidates.length)];
   }
 
   return {
     startPolling: (delay) => {
-      const wait: Wait = { dueAt: clock.now() + delay, pollCount: 0 };
-      waits.add(wait);
+      const request: PollRequest = { dueAt: clock.now() + delay, round: 0 };
+      pollRequests.add(request);
       schedule();
       return () => {
-        waits.delete(wait);
+        pollRequests.delete(request);
         schedule();
       };
     },
--- a/packages/gateway/src/lib/groups/groupAccess.ts
+++ b/packages/gateway/src/lib/groups/groupAccess.ts
@@ -13,6 +13,7 @@
     request: StatementRequest,
     options: OpenOptions,
   ) => Promise<{ transaction: Transaction } | { refusal: UpstreamAnswer }>;
+  /** Returns the sequence number and time of a statement that arrives now. */
   markArrival: () => AskedAt;
 }
 
--- a/packages/gateway/src/lib/groups/groupContext.ts
+++ b/packages/gateway/src/lib/groups/groupContext.ts
@@ -22,7 +22,7 @@
   suspectPrimary: (cause: SuspicionCause, member: Member | undefined) => void;
   counters: GroupCounters;
   leavingPolicy: LeavingMemberPolicy;
-  uses: UsesMechanism;
+  isMechanismEnabled: UsesMechanism;
   /** Returns a uniformly distributed number in [0, 1). */
   random: () => number;
 }
@@ -52,12 +52,12 @@
   at: number;
 }
 
-export function createEventStamp({ evidence, clock }: GroupContext): AskedAt {
+export function createSequencedTime({ evidence, clock }: GroupContext): AskedAt {
   return { sequence: evidence.nextSequence(), at: clock.now() };
 }
 
 /** Counts and logs a statement that is about to be sent, if the member is leaving. */
-export function logLeavingUse(
+export function logIfLeaving(
   context: GroupContext,
   { entry }: Member,
   sent: { requestId: string; queuedAt: number },
--- a/packages/gateway/src/lib/groups/groupTask.ts
+++ b/packages/gateway/src/lib/groups/groupTask.ts
@@ -11,7 +11,7 @@
 import { createPromotionTask } from '../promotion/promotionTask';
 import { createReadPositionRefresher } from './readPositionRefresher';
 import { createEvidencePoller } from './evidencePoller';
-import { createEventStamp } from './groupContext';
+import { createSequencedTime } from './groupContext';
 import type { GroupAccess } from './groupAccess';
 import type { GroupContext, GroupCounters } from './groupContext';
 import { createLeavingMemberPolicy } from './leavingMemberPolicy';
@@ -74,7 +74,7 @@
  * Part of a member's connections that instances share evenly. The rest covers uneven load and dead
  * connections that a member still counts after an outage.
  */
-const EVEN_CONNECTION_SHARE = 0.6;
+const EVENLY_DIVIDED_SHARE = 0.6;
 
 /** With fewer connections, two open transactions could block all other statements. */
 const MINIMUM_CONNECTIONS = 4;
@@ -120,7 +120,7 @@
     driver,
     counters,
     leavingPolicy,
-    uses,
+    isMechanismEnabled: uses,
     random: options.random,
     suspectPrimary: (cause, member) => onSuspicion(cause, member),
   };
@@ -163,7 +163,7 @@
       }
     }
     primaryTracker.notifyChange();
-    reviewDirectory();
+    checkPrimaryIfHolder();
     prefetchReadPosition();
   }
 
@@ -178,7 +178,7 @@
   function addOrUpdate(entry: KnownEntry): void {
     const known = members.get(entry.memberId);
     if (known && isSameLife(known.entry, entry)) {
-      if (isChanged(known.entry, entry)) logger.info('memberChanged', describeEntry(entry));
+      if (hasStatusChanged(known.entry, entry)) logger.info('memberChanged', describeEntry(entry));
       Object.assign(known, { entry, missingSince: undefined });
       return;
     }
@@ -199,7 +199,8 @@
     const { memberId } = entry;
     logger.warn('memberRestarted', { group, memberId, former: former.startedAt });
     pool.close();
-    primaryTracker.forgetMember(memberId);
+    primaryTracker.discardConfirmations(memberId);
+    // A promotion that used the member's former log may be pending until then.
     const trustedFrom = clock.now() + MAXIMUM_PROMOTION_MILLISECONDS;
     evidence.restartMember(memberId, { trustedFrom });
   }
@@ -212,11 +213,11 @@
       group,
       memberId: entry.memberId,
       address: entry.address,
-      fairShare: calculateFairShare,
+      calculateFairShare,
       maximumConnections: calculateMaximumConnections(limits, MAXIMUM_CONNECTION_SHARE),
       isHolder,
-      uses,
-      onUnpinned: () => members.get(entry.memberId)?.gate.review(),
+      isMechanismEnabled: uses,
+      onUnpinned: () => members.get(entry.memberId)?.admission.admitWaiting(),
       onUnreachable: () => handleUnreachable(entry.memberId),
     });
     return createMember({
@@ -224,12 +225,12 @@
       pool,
       isSameDataCentre: entry.dataCentre === dataCentre,
       clock,
-      uses,
+      isMechanismEnabled: uses,
     });
   }
 
   function calculateFairShare(): number {
-    const shared = limits.maximumConnections * EVEN_CONNECTION_SHARE;
+    const shared = limits.maximumConnections * EVENLY_DIVIDED_SHARE;
     return Math.max(1, Math.floor(shared / countSharers()));
   }
 
@@ -242,7 +243,7 @@
 
   function runMaintenance(): void {
     for (const [memberId, member] of members) {
-      member.pool.trim();
+      member.pool.maintain();
       const missing = member.missingSince;
       if (missing !== undefined && clock.now() - missing > missingGrace) {
         logger.warn('memberGone', { group, memberId });
@@ -251,11 +252,11 @@
         member.pool.close();
       }
     }
-    reviewDirectory();
+    checkPrimaryIfHolder();
   }
 
   /** Only holders check the primary: checks by all instances would exhaust connections. */
-  function reviewDirectory(): void {
+  function checkPrimaryIfHolder(): void {
     if (isHolder()) promotion.reviewDirectory();
   }
 
@@ -263,7 +264,7 @@
     read,
     write: writes.write,
     openTransaction: transactions.open,
-    markArrival: () => createEventStamp(context),
+    markArrival: () => createSequencedTime(context),
     updateMembers,
     updateLimits: (next) => {
       limits = next;
@@ -286,6 +287,6 @@
   return Math.max(MINIMUM_CONNECTIONS, Math.floor(maximumConnections * share));
 }
 
-function isChanged(before: KnownEntry, after: KnownEntry): boolean {
+function hasStatusChanged(before: KnownEntry, after: KnownEntry): boolean {
   return before.isPrimary !== after.isPrimary || before.isLeaving !== after.isLeaving;
 }
--- a/packages/gateway/src/lib/groups/hedgedReads.ts
+++ b/packages/gateway/src/lib/groups/hedgedReads.ts
@@ -42,7 +42,7 @@
 const QUEUE_TIMEOUT_MILLISECONDS = 100;
 
 export function createHedgedReads(context: GroupContext): HedgedReads {
-  const { clock, counters, group, logger, uses } = context;
+  const { clock, counters, group, logger, isMechanismEnabled } = context;
   const budget = createRetryBudget(HEDGE_BUDGET);
 
   async function run({
@@ -52,7 +52,7 @@
     second,
   }: Parameters<HedgedReads['run']>[0]): Promise<ReadAttempt> {
     const firstAttempt = attemptRead(request, createCommand, first);
-    if (!second || second.wait > 0 || !uses('hedging')) return firstAttempt;
+    if (!second || second.wait > 0 || !isMechanismEnabled('hedging')) return firstAttempt;
     const hedgeDelay = calculateHedgeDelay(first.member);
     const timeLeft = request.deadlineAt - clock.now();
     const earlyResult = await resolveWithin(clock, firstAttempt, Math.min(hedgeDelay, timeLeft));
@@ -88,27 +88,30 @@
     const command = createCommand(candidate.after);
     const { deadlineAt } = request;
     const { lag } = candidate.member;
-    if (candidate.isTrial) lag.beginTrial();
+    if (candidate.isTrialRead) lag.beginTrial();
     const outcome = await attemptCommand(context, candidate.member, {
       request,
       command,
       deadlineAt,
       queueTimeout: chooseQueueTimeout(request),
     });
-    if (candidate.isTrial) lag.endTrial();
+    if (candidate.isTrialRead) lag.endTrial();
     return { candidate, outcome };
   }
 
   /** Returns no timeout for a read that only the primary can serve. */
   function chooseQueueTimeout({ route }: StatementRequest): number | undefined {
-    const canTryElsewhere = route.consistency !== 'primary' && uses('lookingAgain');
+    const canTryElsewhere = route.consistency !== 'primary' && isMechanismEnabled('lookingAgain');
     return canTryElsewhere ? QUEUE_TIMEOUT_MILLISECONDS : undefined;
   }
 
   return { recordRead: () => budget.recordFirstTry(clock.now()), run };
 }
 
-/** Resolves with the first completed attempt and releases the connections of the others. */
+/**
+ * Resolves with the first completed attempt, or with the last attempt if none completes, and
+ * releases the connections of the others.
+ */
 function resolveFirstCompleted(
   context: GroupContext,
   attempts: Promise<ReadAttempt>[],
--- a/packages/gateway/src/lib/groups/member.ts
+++ b/packages/gateway/src/lib/groups/member.ts
@@ -12,7 +12,7 @@
   entry: KnownEntry;
   pool: UpstreamPool;
   /** Limits the concurrent statements of this instance at the member. */
-  gate: StatementGate;
+  admission: StatementGate;
   /** Response time of statements, including network and the member's queue. */
   latency: LatencyEstimate;
   lag: ReplicaLag;
@@ -42,24 +42,24 @@
   pool: UpstreamPool;
   isSameDataCentre: boolean;
   clock: Clock;
-  uses: UsesMechanism;
+  isMechanismEnabled: UsesMechanism;
 }): Member {
-  const { entry, pool, isSameDataCentre, clock, uses } = options;
+  const { entry, pool, isSameDataCentre, clock, isMechanismEnabled } = options;
   const { sameDataCentre, otherDataCentre } = INITIAL_LATENCY_MILLISECONDS;
   const latency = createLatencyEstimate(isSameDataCentre ? sameDataCentre : otherDataCentre);
-  const gate = createStatementGate({
+  const admission = createStatementGate({
     clock,
     limit: Math.max(2, Math.ceil(entry.slots * STATEMENTS_PER_SLOT)),
-    freeConnections: pool.freeConnections,
+    freeConnections: pool.countFreeConnections,
     expectedTime: () => latency.current(clock.now()),
     delay: pool.estimateDelay,
-    uses,
-    onWaiting: pool.grow,
+    uses: isMechanismEnabled,
+    onWaiting: pool.raiseLimit,
   });
   return {
     entry,
     pool,
-    gate,
+    admission,
     latency,
     lag: createReplicaLag(),
     answeredAt: -Infinity,
--- a/packages/gateway/src/lib/groups/memberQuestions.ts
+++ b/packages/gateway/src/lib/groups/memberQuestions.ts
@@ -1,11 +1,11 @@
 import { createSessionState } from '@wisterialift/pooling';
 import type { MemberReport, UpstreamCommand } from '@wisterialift/pooling';
-import { createEventStamp, observeReport } from './groupContext';
+import { createSequencedTime, observeReport } from './groupContext';
 import type { GroupContext } from './groupContext';
 import type { Member } from './member';
 
-/** Goes before all statements, because many of them may wait for the report. */
-const QUERY_PRIORITY = -1;
+/** Acquires connections ahead of all statements, because many of them may wait for the report. */
+const CONTROL_COMMAND_PRIORITY = -1;
 
 /**
  * Sends a member a control command and returns the status report it answers with.
@@ -27,10 +27,10 @@
     const pendingConnection = member.pool.acquire({
       session,
       deadlineAt,
-      priority: QUERY_PRIORITY,
+      priority: CONTROL_COMMAND_PRIORITY,
     });
     const connection = await pendingConnection;
-    const sentStamp = createEventStamp(context);
+    const sentStamp = createSequencedTime(context);
     const cancelTimeout = clock.after(deadlineAt - clock.now(), () => {
       member.pool.discard(connection);
     });
--- a/packages/gateway/src/lib/groups/primaryTracker.ts
+++ b/packages/gateway/src/lib/groups/primaryTracker.ts
@@ -9,7 +9,7 @@
   /** Records that a member is the primary of `term`. */
   confirmPrimary: (memberId: string, term: number) => void;
   /** Discards all terms confirmed for a member, for example after its restart. */
-  forgetMember: (memberId: string) => void;
+  discardConfirmations: (memberId: string) => void;
   /** Whether the member was confirmed as the primary of `term`. */
   isConfirmed: (memberId: string, term: number) => boolean;
   /** Resolves at the next change or after `milliseconds`. */
@@ -75,9 +75,9 @@
       rejections.delete(memberId);
       notifyChange();
     },
-    forgetMember: (memberId) => {
-      for (const [term, leader] of primaryByTerm) {
-        if (leader === memberId) primaryByTerm.delete(term);
+    discardConfirmations: (memberId) => {
+      for (const [term, primaryId] of primaryByTerm) {
+        if (primaryId === memberId) primaryByTerm.delete(term);
       }
       notifyChange();
     },
--- a/packages/gateway/src/lib/groups/primaryVerifier.ts
+++ b/packages/gateway/src/lib/groups/primaryVerifier.ts
@@ -10,29 +10,34 @@
 /** Verifies that answers of the primary are current and its commits replicated. */
 export interface PrimaryVerifier {
   /**
-   * Whether a read in `term` includes all commits acknowledged `maximumStaleness` milliseconds
-   * before `arrived`.
+   * Whether a read in `term` includes all commits acknowledged at least `maximumStaleness`
+   * milliseconds before `eventStamp`, the arrival of the read or the start of its transaction.
    *
    * Guards against a replaced primary that still answers and lacks later commits.
    */
   verifyCurrent: (options: {
     member: Member;
     term: number;
-    arrived: AskedAt;
+    eventStamp: AskedAt;
     maximumStaleness: number;
     /** Milliseconds to wait before replicas are polled; see `calculatePollDelay`. */
     pollDelay: number;
     deadlineAt: number;
   }) => Promise<boolean>;
-  /** Whether a wait for evidence exceeds the stall timeout, so that further ones are pointless. */
+  /**
+   * Whether a pending wait has exceeded the stall timeout; callers should start no further waits.
+   */
   isStalled: () => boolean;
-  /** Waits until a second member holds a commit of the primary, or a later term supersedes it. */
-  verifyReplicated: (options: {
+  /**
+   * Waits until a second member holds a commit of the primary, a later term supersedes it or the
+   * deadline passes (`unknown`). A group of one member needs no replication.
+   */
+  waitForReplication: (options: {
     member: Member;
     position: Position;
     pollDelay: number;
     deadlineAt: number;
-  }) => Promise<'copied' | 'superseded' | 'unknown'>;
+  }) => Promise<'replicated' | 'superseded' | 'unknown'>;
 }
 
 /**
@@ -85,12 +90,13 @@
       ROLE_QUERY_TIMEOUT_MILLISECONDS,
     );
     if (belief.isConfirmed(memberId, term)) return true;
-    // A failed query is no rejection; treated as one, it could leave the group without a primary.
+    // A query without a report proves nothing; rejecting the member here could leave the group
+    // without a primary.
     if (report) belief.rejectPrimary(member, term);
     return false;
   }
 
-  /** Whether a replica answered in `term` to a question sent at or after `since`. */
+  /** Whether a replica answered in `term` to a command sent at or after `since`. */
   function hasRecentReply(member: Member, term: number, since: number): boolean {
     return [...members.keys()].some((memberId) => {
       if (memberId === member.entry.memberId) return false;
@@ -122,19 +128,26 @@
 
   return {
     isStalled,
-    verifyCurrent: async ({ member, term, arrived, maximumStaleness, pollDelay, deadlineAt }) => {
+    verifyCurrent: async ({
+      member,
+      term,
+      eventStamp,
+      maximumStaleness,
+      pollDelay,
+      deadlineAt,
+    }) => {
       if (!(await confirmPrimaryRole(member, term))) return false;
       if (!hasOtherMembers(member)) return true;
       const canBeStale = maximumStaleness > 0;
-      if (canBeStale && hasRecentReply(member, term, arrived.at - maximumStaleness)) return true;
+      if (canBeStale && hasRecentReply(member, term, eventStamp.at - maximumStaleness)) return true;
       const { memberId: primaryId } = member.entry;
-      const wait = evidence.waitForTerm({ term, sequence: arrived.sequence, primaryId });
+      const wait = evidence.waitForTerm({ term, sequence: eventStamp.sequence, primaryId });
       const verdict = await waitForEvidence(wait, { member, pollDelay, deadlineAt });
       if (verdict?.type === 'superseded') belief.rejectPrimary(member, term);
       return verdict?.type === 'proved';
     },
-    verifyReplicated: async ({ member, position, pollDelay, deadlineAt }) => {
-      if (!hasOtherMembers(member)) return 'copied';
+    waitForReplication: async ({ member, position, pollDelay, deadlineAt }) => {
+      if (!hasOtherMembers(member)) return 'replicated';
       const wait = evidence.waitForCopy({
         position,
         primaryId: member.entry.memberId,
@@ -143,7 +156,7 @@
       const verdict = await waitForEvidence(wait, { member, pollDelay, deadlineAt });
       if (!verdict) return 'unknown';
       if (verdict.type === 'superseded') belief.rejectPrimary(member, position.term);
-      return verdict.type === 'proved' ? 'copied' : 'superseded';
+      return verdict.type === 'proved' ? 'replicated' : 'superseded';
     },
   };
 }
--- a/packages/gateway/src/lib/groups/readCandidates.ts
+++ b/packages/gateway/src/lib/groups/readCandidates.ts
@@ -13,7 +13,7 @@
   /** Expected milliseconds until the member has applied the required log. */
   wait: number;
   /** Whether the read tests if a member with an outdated lag estimate still lags. */
-  isTrial: boolean;
+  isTrialRead: boolean;
   isPrimary: boolean;
   /** Position that must be applied for the read; undefined if only the primary can serve it. */
   after: Position | undefined;
@@ -26,9 +26,9 @@
   /**
    * Returns the members that can run a read, best first.
    *
-   * @param fullMembers - members to leave out because they had no capacity for this read.
+   * @param excludedMembers - members to leave out of the ranking.
    */
-  rank: (request: StatementRequest, fullMembers: ReadonlySet<Member>) => ReadCandidate[];
+  rank: (request: StatementRequest, excludedMembers: ReadonlySet<Member>) => ReadCandidate[];
   /** Whether some member is expected to run the read without delay. */
   hasIdle: (request: StatementRequest) => boolean;
   /** Whether a position is known from which replicas can serve the read. */
@@ -42,15 +42,15 @@
   context: GroupContext,
   verifier: PrimaryVerifier,
 ): ReadCandidates {
-  const { belief, clock, evidence, leavingPolicy, members, uses } = context;
+  const { belief, clock, evidence, leavingPolicy, members, isMechanismEnabled } = context;
 
-  function rank(request: StatementRequest, fullMembers: ReadonlySet<Member>): ReadCandidate[] {
+  function rank(request: StatementRequest, excludedMembers: ReadonlySet<Member>): ReadCandidate[] {
     const now = clock.now();
     const primary = belief.find();
     const required = findRequiredLog(request);
     const candidates = [...members.values()]
       .filter((member) => (member === primary ? !verifier.isStalled() : required !== undefined))
-      .filter((member) => !fullMembers.has(member) && member.avoidUntil <= now)
+      .filter((member) => !excludedMembers.has(member) && member.avoidUntil <= now)
       .filter((member) => !isUnavailableReplica(member, primary) && leavingPolicy.canAccept(member))
       .map((member) => ({
         memberId: member.entry.memberId,
@@ -58,9 +58,9 @@
         isPrimary: member === primary,
         after: required?.position,
         latency: member.latency.current(now),
-        isReserved: member === primary && uses('reservedPrimary'),
-        load: member.gate.load(),
-        capacity: member.gate.capacity(),
+        isReserved: member === primary && isMechanismEnabled('reservedPrimary'),
+        load: member.admission.countStatements(),
+        capacity: member.admission.calculateCapacity(),
         delay: member.pool.estimateDelay(),
         ...estimateWait(member, member === primary ? undefined : required, now),
       }));
@@ -92,15 +92,15 @@
     { lag }: Member,
     required: RequiredLog | undefined,
     now: number,
-  ): Pick<ReadCandidate, 'wait' | 'isTrial'> {
+  ): Pick<ReadCandidate, 'wait' | 'isTrialRead'> {
     const wait = lag.timeUntilApplied(required, now);
-    const isTrial = wait > 0 && lag.mayBeTried(now) && uses('trialReads');
-    return { wait: isTrial ? 0 : wait, isTrial };
+    const isTrialRead = wait > 0 && lag.mayBeTried(now) && isMechanismEnabled('trialReads');
+    return { wait: isTrialRead ? 0 : wait, isTrialRead };
   }
 
   const hasIdle = (request: StatementRequest) =>
     rank(request, new Set()).some(
-      ({ member, wait, delay }) => wait === 0 && delay === 0 && member.gate.hasRoom(),
+      ({ member, wait, delay }) => wait === 0 && delay === 0 && member.admission.hasRoom(),
     );
 
   return {
--- a/packages/gateway/src/lib/groups/readRouter.ts
+++ b/packages/gateway/src/lib/groups/readRouter.ts
@@ -41,13 +41,13 @@
 /** Backoff from a replica that refused a read because it lags. */
 const LAGGING_BACKOFF_MILLISECONDS = 25;
 
-/** Causes that exclude a member from the rest of the search. */
-const MEMBER_FULL_CAUSES: ReadonlySet<NotSentCause> = new Set(['noCapacity', 'leaving']);
+/** Causes that exclude a member from the search until no other candidate remains. */
+const EXCLUSION_CAUSES: ReadonlySet<NotSentCause> = new Set(['noCapacity', 'leaving']);
 
 /** State of the search for a member that can run a read. */
 interface ReadSearch {
-  /** Members that had no capacity for the read. */
-  fullMembers: Set<Member>;
+  /** Members without capacity or leaving, left out of the ranking. */
+  excludedMembers: Set<Member>;
   hasRefreshedReadPosition: boolean;
 }
 
@@ -57,7 +57,7 @@
   second: ReadCandidate | undefined;
 }
 
-type ReadVerdict = 'accepted' | 'retry' | 'final' | 'full';
+type ReadVerdict = 'accepted' | 'retry' | 'final' | 'excludeMember';
 
 export function createReadRouter(
   context: GroupContext,
@@ -69,7 +69,8 @@
     readPositions: ReadPositionRefresher;
   },
 ): ReadRouter {
-  const { belief, clock, counters, evidence, leavingPolicy, logger, group, uses } = context;
+  const { belief, clock, counters, evidence, leavingPolicy, logger, group, isMechanismEnabled } =
+    context;
   const candidates = createReadCandidates(context, verifier);
   const hedgedReads = createHedgedReads(context);
 
@@ -84,7 +85,7 @@
     hedgedReads.recordRead();
     if (leavingPolicy.isGroupClosed()) return { answer: refuseRead(request) };
     if (canUseReplica(request) && !candidates.hasPosition(request)) await readPositions.refresh();
-    const search: ReadSearch = { fullMembers: new Set(), hasRefreshedReadPosition: false };
+    const search: ReadSearch = { excludedMembers: new Set(), hasRefreshedReadPosition: false };
     for (;;) {
       const found = await findMembers(request, search);
       if (!found) return { answer: refuseRead(request) };
@@ -100,9 +101,9 @@
         releaseConnection(context, { ...candidate, connection, transaction: answer.transaction });
         if (verdict === 'final') return { answer };
       }
-      if (verdict === 'full') {
-        if (!uses('secondChoice')) return { answer: refuseRead(request) };
-        search.fullMembers.add(candidate.member);
+      if (verdict === 'excludeMember') {
+        if (!isMechanismEnabled('secondChoice')) return { answer: refuseRead(request) };
+        search.excludedMembers.add(candidate.member);
       }
       counters.retries += 1;
     }
@@ -114,13 +115,13 @@
     search: ReadSearch,
   ): Promise<RankedCandidates | undefined> {
     while (timeLeftOf(request) > 0 && !leavingPolicy.isGroupClosed()) {
-      const all = candidates.rank(request, search.fullMembers);
+      const all = candidates.rank(request, search.excludedMembers);
       const [first, second] = all.filter(({ wait }) => wait <= timeLeftOf(request));
       if (!first && all.length > 0) return undefined;
-      if (!first && search.fullMembers.size > 0) {
-        // A member that was full earlier may have capacity now.
+      if (!first && search.excludedMembers.size > 0) {
+        // An excluded member may have capacity by now.
         if (!candidates.hasIdle(request)) return undefined;
-        search.fullMembers.clear();
+        search.excludedMembers.clear();
         continue;
       }
       if (!first && verifier.isStalled()) return undefined;
@@ -130,7 +131,7 @@
         continue;
       }
       if (first?.wait === 0) return { first, second };
-      if (first && !uses('waitingForReplicas')) return undefined;
+      if (first && !isMechanismEnabled('waitingForReplicas')) return undefined;
       await belief.waitForChange(Math.min(RETRY_DELAY_MILLISECONDS, timeLeftOf(request)));
     }
     return undefined;
@@ -144,7 +145,7 @@
   ): boolean {
     const isReadPositionMissing = canUseReplica(request) && after === undefined;
     return (
-      isReadPositionMissing && !hasRefreshedReadPosition && isPrimary && !member.gate.hasRoom()
+      isReadPositionMissing && !hasRefreshedReadPosition && isPrimary && !member.admission.hasRoom()
     );
   }
 
@@ -162,20 +163,21 @@
       handleUnanswered(candidate, outcome);
       const cause = outcome.type === 'notSent' ? outcome.cause : undefined;
       if (cause === 'leaving') await belief.waitForChange(RETRY_DELAY_MILLISECONDS);
-      return cause && MEMBER_FULL_CAUSES.has(cause) ? 'full' : 'retry';
+      return cause && EXCLUSION_CAUSES.has(cause) ? 'excludeMember' : 'retry';
     }
     const { answer } = outcome;
     if (answer.outcome === 'refused') return evaluateRefusal(request, candidate, answer);
     if (!answer.position) return 'retry';
     const { term } = answer.position;
-    // A former primary of this term needs verification too: the required position was its own.
+    // Also verify a member confirmed for this term that is no longer considered the primary: the
+    // required position may be its own, so an equal term proves nothing.
     const isPrimaryAnswer =
       candidate.isPrimary || belief.isConfirmed(candidate.member.entry.memberId, term);
     if (!isPrimaryAnswer) return term === candidate.after?.term ? 'accepted' : 'retry';
     const isCurrent = await verifier.verifyCurrent({
       member: candidate.member,
       term,
-      arrived: request.arrived,
+      eventStamp: request.arrived,
       maximumStaleness: request.route.maximumStaleness - STALENESS_MARGIN_MILLISECONDS,
       pollDelay: calculatePollDelay(request.route),
       deadlineAt: request.deadlineAt,
@@ -206,7 +208,7 @@
       },
       lagging: () => {
         Object.assign(member, { avoidUntil: now + LAGGING_BACKOFF_MILLISECONDS });
-        if (isPrimary) forgetDiscardedCommit(request, answer);
+        if (isPrimary) dropDiscardedCommit(request, answer);
         return 'retry';
       },
       readOnly: () => {
@@ -219,7 +221,7 @@
   }
 
   /** Drops the required commit if the primary of a later term has discarded it. */
-  function forgetDiscardedCommit(request: StatementRequest, answer: UpstreamAnswer): void {
+  function dropDiscardedCommit(request: StatementRequest, answer: UpstreamAnswer): void {
     const { session } = request;
     const term = answer.position?.term ?? 0;
     if (!session.lastCommit || session.lastCommit.position.term >= term) return;
--- a/packages/gateway/src/lib/groups/refusals.ts
+++ b/packages/gateway/src/lib/groups/refusals.ts
@@ -70,17 +70,17 @@
 function findShortestWait({ clock, leavingPolicy, members }: RefusalContext): number | undefined {
   const waits = [...(members?.values() ?? [])]
     .filter((member) => member.avoidUntil <= clock.now() && leavingPolicy?.canAccept(member))
-    .map(({ gate }) => gate.expectedWait());
+    .map(({ admission }) => admission.estimateWait());
   return waits.length > 0 ? Math.min(...waits) : undefined;
 }
 
 /** Returns the members' routing state for the log; times are in milliseconds. */
 function describeMembers(members: GroupContext['members'], now: number) {
-  return [...members.values()].map(({ entry, gate, lag, latency, avoidUntil }) => ({
+  return [...members.values()].map(({ entry, admission, lag, latency, avoidUntil }) => ({
     memberId: entry.memberId,
     ...describeLag(lag, now),
     latency: Math.round(latency.current(now)),
-    load: gate.load(),
+    load: admission.countStatements(),
     avoidedFor: Math.max(0, Math.round(avoidUntil - now)) || undefined,
   }));
 }
--- a/packages/gateway/src/lib/groups/statementGate.ts
+++ b/packages/gateway/src/lib/groups/statementGate.ts
@@ -19,23 +19,26 @@
   hasConnection?: boolean;
 }
 
-/** `tooLate`: no turn before the deadline; `notYet`: no turn within `queueTimeout`. */
-export type Admission = 'admitted' | 'tooLate' | 'notYet';
+/**
+ * `tooLate`: not admitted by the deadline, or the expected wait is too long; `notYet`: not admitted
+ * within `queueTimeout`.
+ */
+export type AdmissionResult = 'admitted' | 'tooLate' | 'notYet';
 
 /** Limits the concurrent statements of this instance at a member. */
 export interface StatementGate {
-  enter: (request: GateRequest) => Promise<Admission>;
+  enter: (request: GateRequest) => Promise<AdmissionResult>;
   leave: (request: GateRequest) => void;
   /** Number of running and waiting statements. */
-  load: () => number;
+  countStatements: () => number;
   /** Number of statements outside transactions that can run concurrently. */
-  capacity: () => number;
+  calculateCapacity: () => number;
   /** Expected wait of a new statement at the end of the queue, in milliseconds. */
-  expectedWait: () => number;
+  estimateWait: () => number;
   /** Whether a statement outside a transaction would be admitted immediately. */
   hasRoom: () => boolean;
   /** Admits waiting statements after connections have become available. */
-  review: () => void;
+  admitWaiting: () => void;
 }
 
 export interface StatementGateOptions {
@@ -49,13 +52,13 @@
   /** Expected milliseconds until a connection is available. */
   delay: () => number;
   uses: UsesMechanism;
-  /** Called when statements wait that more connections could run. */
+  /** Called when a statement is queued, so that the pool can raise its connection limit. */
   onWaiting: () => void;
 }
 
 interface Waiter extends QueuedStatement {
   hasConnection: boolean;
-  settle: (admission: Admission) => void;
+  settle: (result: AdmissionResult) => void;
 }
 
 /**
@@ -89,25 +92,25 @@
   }
 
   /**
-   * Estimates the time until a statement's turn from observed completions, because other instances
-   * take an unknown part of the member's slots.
+   * Estimates the time until a statement is admitted from observed completions, because other
+   * instances take an unknown part of the member's slots.
    */
-  function estimateTurn(statements: number): number {
+  function estimateQueueWait(statements: number): number {
     const interval = service.completionInterval() || expectedTime() / limit;
     return (statements + 1) * interval;
   }
 
   /** Statements of an open transaction do not wait for a connection. */
-  function estimateWait({ priority, arrivedAt, hasConnection }: GateRequest): number {
+  function estimateRequestWait({ priority, arrivedAt, hasConnection }: GateRequest): number {
     const ahead = waiters.filter(
       (waiter) =>
         waiter.priority < priority ||
         (waiter.priority === priority && waiter.arrivedAt <= arrivedAt),
     );
-    return (hasConnection ? 0 : delay()) + estimateTurn(ahead.length);
+    return (hasConnection ? 0 : delay()) + estimateQueueWait(ahead.length);
   }
 
-  function admitWaiters(): void {
+  function admitWaiting(): void {
     for (;;) {
       const next = chooseNextStatement(waiters.filter(canRun));
       if (!next) return;
@@ -117,7 +120,7 @@
     }
   }
 
-  function enqueue(request: GateRequest): Promise<Admission> {
+  function enqueue(request: GateRequest): Promise<AdmissionResult> {
     const {
       priority,
       arrivedAt,
@@ -132,9 +135,9 @@
         priority,
         hasConnection,
         arrivedAt,
-        settle: (admission) => {
+        settle: (result) => {
           cancelTimeout?.();
-          resolve(admission);
+          resolve(result);
         },
       };
       cancelTimeout = clock.after(Math.min(timeLeft, queueTimeout), () => {
@@ -144,7 +147,7 @@
       waiters.push(waiter);
       queuedSince ??= clock.now();
       onWaiting();
-      admitWaiters();
+      admitWaiting();
     });
   }
 
@@ -159,18 +162,20 @@
         timeLeft: request.deadlineAt - clock.now(),
         queuedFor: uses('shortQueueInOverload') ? calculateQueuedTime() : 0,
       });
-      return estimateWait(request) > maximumWait ? Promise.resolve('tooLate') : enqueue(request);
+      return estimateRequestWait(request) > maximumWait
+        ? Promise.resolve('tooLate')
+        : enqueue(request);
     },
     leave: ({ hasConnection }) => {
       running -= 1;
       if (!hasConnection) runningOutsideTransactions -= 1;
       service.recordCompletion(expectedTime(), clock.now(), waiters.length > 0);
-      admitWaiters();
+      admitWaiting();
     },
-    load: () => running + waiters.length,
-    capacity: () => Math.min(limit, freeConnections()),
-    expectedWait: () => delay() + estimateTurn(waiters.length),
+    countStatements: () => running + waiters.length,
+    calculateCapacity: () => Math.min(limit, freeConnections()),
+    estimateWait: () => delay() + estimateQueueWait(waiters.length),
     hasRoom: () => canRun({}),
-    review: admitWaiters,
+    admitWaiting,
   };
 }
--- a/packages/gateway/src/lib/groups/transactionOpener.ts
+++ b/packages/gateway/src/lib/groups/transactionOpener.ts
@@ -1,7 +1,7 @@
 import type { UpstreamAnswer, UpstreamCommand } from '@wisterialift/pooling';
 import type { Position } from '@wisterialift/schema';
 import { attemptCommand, recordLatency, runWithDeadline } from './attemptCommand';
-import { createEventStamp, logLeavingUse, observeAnswer } from './groupContext';
+import { createSequencedTime, logIfLeaving, observeAnswer } from './groupContext';
 import type { GroupAccess, OpenOptions, Transaction } from './groupAccess';
 import type { GroupContext } from './groupContext';
 import { releaseConnection } from './releaseConnection';
@@ -20,7 +20,7 @@
   open: GroupAccess['openTransaction'];
 }
 
-/** Higher than the priorities of callers, which start at 0. */
+/** Precedes callers' statements, whose priorities start at 0; lower goes first. */
 const TRANSACTION_PRIORITY = -1;
 
 /** Pause before a statement that a busy member refused is retried. */
@@ -34,15 +34,15 @@
   member: Member;
   connection: PooledConnection;
   /** Whether reads of the transaction are current; answers are held until this resolves. */
-  isCurrent: Promise<boolean>;
+  verification: Promise<boolean>;
 }
 
 export function createTransactionOpener(
   context: GroupContext,
-  paths: { reads: ReadRouter; writes: WriteRouter; primaryVerifier: PrimaryVerifier },
+  components: { reads: ReadRouter; writes: WriteRouter; primaryVerifier: PrimaryVerifier },
 ): TransactionOpener {
   const { clock, logger, group } = context;
-  const { reads, writes, primaryVerifier } = paths;
+  const { reads, writes, primaryVerifier } = components;
 
   async function open(
     request: StatementRequest,
@@ -65,7 +65,7 @@
     });
     const { answer, routed } = await reads.run(request, createBeginCommand);
     if (!routed) return { refusal: answer };
-    return { ...routed, isCurrent: Promise.resolve(true) };
+    return { ...routed, verification: Promise.resolve(true) };
   }
 
   async function openOnPrimary(
@@ -85,22 +85,22 @@
       releaseConnection(context, { member, connection, transaction: answer.transaction });
       return { refusal: refuseBegin(request) };
     }
-    const isCurrent = primaryVerifier.verifyCurrent({
+    const verification = primaryVerifier.verifyCurrent({
       member,
       term: answer.position.term,
-      arrived: began,
+      eventStamp: began,
       maximumStaleness: request.route.maximumStaleness,
       pollDelay: calculatePollDelay(request.route),
       deadlineAt,
     });
-    return { member, connection, isCurrent };
+    return { member, connection, verification };
   }
 
   function refuseBegin(request: StatementRequest): UpstreamAnswer {
     return refuseUnroutable(context, request, 'busy', 'no member can take the transaction');
   }
 
-  function createTransaction({ member, connection, isCurrent }: OpenedTransaction): Transaction {
+  function createTransaction({ member, connection, verification }: OpenedTransaction): Transaction {
     let hasWritten = false;
     let hasRun = false;
     let isEnded = false;
@@ -136,28 +136,29 @@
       const deadlineAt = calculateSendDeadline(request);
       // The transaction holds a connection and locks, so its statements take priority.
       const { goal } = request.route;
-      const gateRequest = {
+      const admissionRequest = {
         priority: TRANSACTION_PRIORITY,
         goal,
         arrivedAt: clock.now(),
         deadlineAt,
         hasConnection: true,
       };
-      const admission = await member.gate.enter(gateRequest);
-      if (admission !== 'admitted') return { type: canRun() ? 'lost' : 'notSent' };
+      const admissionResult = await member.admission.enter(admissionRequest);
+      // Without admission, the transaction ends as if the answer were lost.
+      if (admissionResult !== 'admitted') return { type: canRun() ? 'lost' : 'notSent' };
       if (!canRun()) {
-        member.gate.leave(gateRequest);
+        member.admission.leave(admissionRequest);
         return { type: 'notSent' };
       }
-      if (!hasRun) logLeavingUse(context, member, { requestId: request.id, queuedAt });
-      const sentStamp = createEventStamp(context);
+      if (!hasRun) logIfLeaving(context, member, { requestId: request.id, queuedAt });
+      const sentStamp = createSequencedTime(context);
       const command = toCommand(request);
       const running = runWithDeadline(context, {
         connection,
         command,
         deadlineAt: request.deadlineAt,
       });
-      const outcome = await running.finally(() => member.gate.leave(gateRequest));
+      const outcome = await running.finally(() => member.admission.leave(admissionRequest));
       recordLatency(context, member, sentStamp, outcome);
       if (outcome.type === 'answered') observeAnswer(context, member, sentStamp, outcome.answer);
       hasRun ||= !isBusy(outcome);
@@ -205,7 +206,7 @@
         return refuseAborted(request, 'the member did not answer within the transaction');
       }
       if (isWrite(request)) hasWritten = true;
-      if (!(await isCurrent)) {
+      if (!(await verification)) {
         rollBack();
         return refuseAborted(request, 'the primary may have been replaced');
       }
@@ -235,7 +236,7 @@
       const { answer } = outcome;
       end();
       releaseConnection(context, { member, connection, transaction: answer.transaction });
-      if (!(await isCurrent)) return answerUnverifiedCommit(request, answer);
+      if (!(await verification)) return answerUnverifiedCommit(request, answer);
       return hasWritten ? writes.confirmCommit(request, member, answer) : answer;
     }
 
--- a/packages/gateway/src/lib/groups/upstreamPool.ts
+++ b/packages/gateway/src/lib/groups/upstreamPool.ts
@@ -44,16 +44,16 @@
   /** Closes a connection whose state is unknown or whose answer was lost. */
   discard: (connection: PooledConnection) => void;
   /** Number of connections for statements outside transactions, including ones not yet opened. */
-  freeConnections: () => number;
+  countFreeConnections: () => number;
   /** Reserves a connection for a transaction; the returned function ends the reservation. */
   pin: () => () => void;
   /** Raises the connection limit for waiting statements. */
-  grow: () => void;
+  raiseLimit: () => void;
   /** Estimates the milliseconds until a connection not held by a transaction is available. */
   estimateDelay: () => number;
   setMaximum: (connections: number) => void;
   /** Opens connections for waiting requests and closes surplus idle ones. */
-  trim: () => void;
+  maintain: () => void;
   close: () => void;
 }
 
@@ -65,11 +65,11 @@
   memberId: string;
   address: string;
   /** Connections that this instance can open before waiting statements raise the limit. */
-  fairShare: () => number;
+  calculateFairShare: () => number;
   maximumConnections: number;
   /** Whether this instance keeps idle connections up to its fair share. */
   isHolder: () => boolean;
-  uses: UsesMechanism;
+  isMechanismEnabled: UsesMechanism;
   /** Called when a transaction no longer holds a connection. */
   onUnpinned: () => void;
   onUnreachable: (error: UpstreamLostError) => void;
@@ -80,7 +80,9 @@
   fail: (error: Error) => void;
 }
 
-/** Less than a TCP retransmission of the first packet, since another member is tried sooner. */
+/**
+ * Shorter than the initial TCP retransmission timeout, because trying another member is faster.
+ */
 const CONNECT_TIMEOUT_MILLISECONDS = 700;
 
 /** Usual time to open a connection, including network. */
@@ -96,15 +98,18 @@
 const LONG_IDLE_MILLISECONDS = 1_500;
 
 /** Pause after a member refused a connection because it has too many. */
-const REFUSAL_PAUSE_MILLISECONDS = 60;
+const REFUSAL_RETRY_DELAY_MILLISECONDS = 60;
 
 /** Time for which a refusal limits the pool to the connections it has, or to one. */
 const REFUSAL_MILLISECONDS = 250;
 
-/** Expected delay of a connection after a refusal if this instance has none to spare. */
+/**
+ * Expected delay of a connection after a refusal if transactions hold all connections of this
+ * instance, and for how long after the refusal it is expected.
+ */
 const EXPECTED_EXHAUSTION_MILLISECONDS = 500;
 
-/** Interval at which the limit is raised by one connection while requests wait. */
+/** Pause between two increases of the limit, each by one connection. */
 const RAISE_PAUSE_MILLISECONDS = 100;
 
 /** Creates a pool of this instance's connections to one member. */
@@ -213,9 +218,9 @@
       // Other instances hold the remaining connections, and retrying at once would load the member.
       raisedLimit = connections.size;
       refusedAt = clock.now();
-      pausedUntil = clock.now() + REFUSAL_PAUSE_MILLISECONDS;
+      pausedUntil = clock.now() + REFUSAL_RETRY_DELAY_MILLISECONDS;
       logger.warn('connectionPlacesExhausted', { group, memberId, open: connections.size });
-      clock.after(REFUSAL_PAUSE_MILLISECONDS, openForWaiters);
+      clock.after(REFUSAL_RETRY_DELAY_MILLISECONDS, openForWaiters);
       return;
     }
     logger.warn('connectionNotOpened', { group, memberId, error });
@@ -266,7 +271,7 @@
   /** Returns the current connection limit; at least one, so that an empty pool keeps retrying. */
   function calculateCapacity(): number {
     const isRefused = clock.now() - refusedAt < REFUSAL_MILLISECONDS;
-    const share = isRefused ? 1 : options.fairShare();
+    const share = isRefused ? 1 : options.calculateFairShare();
     return Math.max(1, Math.min(maximum, Math.max(share, raisedLimit)));
   }
 
@@ -288,12 +293,15 @@
       : EXPECTED_CONNECT_MILLISECONDS;
   }
 
-  function trim(): void {
+  function maintain(): void {
     openForWaiters();
     for (const connection of [...idle]) {
-      const limit = options.uses('closingIdle') ? SHORT_IDLE_MILLISECONDS : LONG_IDLE_MILLISECONDS;
+      const limit = options.isMechanismEnabled('closingIdle')
+        ? SHORT_IDLE_MILLISECONDS
+        : LONG_IDLE_MILLISECONDS;
       const isStale = clock.now() - connection.idleSince > limit;
-      const isSpare = idle.length > (options.isHolder() ? options.fairShare() : 0) && isStale;
+      const isSpare =
+        idle.length > (options.isHolder() ? options.calculateFairShare() : 0) && isStale;
       if (isSpare || !connection.upstream.isOpen()) discard(connection);
     }
   }
@@ -302,15 +310,15 @@
     acquire,
     release,
     discard,
-    freeConnections: () => Math.max(0, calculateCapacity() - pinnedCount),
+    countFreeConnections: () => Math.max(0, calculateCapacity() - pinnedCount),
     pin,
-    grow: raiseLimit,
+    raiseLimit,
     estimateDelay,
     setMaximum: (value) => {
       maximum = value;
       raisedLimit = Math.min(raisedLimit, value);
     },
-    trim,
+    maintain,
     close: () => {
       isClosed = true;
       for (const waiter of waiters.splice(0)) waiter.fail(new UpstreamLostError('pool is closed'));
--- a/packages/gateway/src/lib/groups/writePath.ts
+++ b/packages/gateway/src/lib/groups/writePath.ts
@@ -16,10 +16,12 @@
   /** Runs one write outside a transaction. */
   write: (request: StatementRequest) => Promise<UpstreamAnswer>;
   /**
-   * Repeats a command at the primary until it may have run or the deadline has passed.
+   * Retries a command at the primary until it may have run, the deadline passes or no primary can
+   * take it.
    *
-   * @param options.isPrimaryOnly - whether only a primary completes the command, so that its answer
-   *   confirms it. A replica also begins read-only transactions, which confirms nothing.
+   * @param options.isPrimaryOnly - whether only a primary completes the command, so that its
+   *   completed answer confirms the member as primary. A replica also begins read-only transactions.
+   * @returns undefined if the command certainly did not run.
    */
   runOnPrimary: (
     request: StatementRequest,
@@ -36,12 +38,12 @@
   ) => Promise<UpstreamAnswer>;
 }
 
-/** Pause before a command that did not run is retried: about the duration of one statement. */
-const BUSY_RETRY_DELAY_MILLISECONDS = 20;
+/** Pause before a command is tried again or the primary is looked up again. */
+const RETRY_DELAY_MILLISECONDS = 20;
 
 /**
- * Time for which a commit's answer is held at most, unless the route's timeout is longer. Covers a
- * change of primary, after which the outcome of the commit is known.
+ * Minimum time after a write's arrival for which the confirmation of its commit is awaited, even
+ * beyond the request's deadline. Covers a change of primary, after which the outcome is known.
  */
 export const HOLD_MILLISECONDS = 3_500;
 
@@ -91,7 +93,7 @@
       if (!member || member.avoidUntil > clock.now() || !leavingPolicy.canAccept(member)) {
         if (!member) context.suspectPrimary('absent', undefined);
         await belief.waitForChange(
-          Math.min(BUSY_RETRY_DELAY_MILLISECONDS, request.deadlineAt - clock.now()),
+          Math.min(RETRY_DELAY_MILLISECONDS, request.deadlineAt - clock.now()),
         );
         continue;
       }
@@ -125,7 +127,7 @@
         outcome.answer.outcome === 'refused' && outcome.answer.reason === 'readOnly';
       if (isReplica) belief.rejectPrimary(member, outcome.answer.position?.term ?? 0);
     }
-    await belief.waitForChange(BUSY_RETRY_DELAY_MILLISECONDS);
+    await belief.waitForChange(RETRY_DELAY_MILLISECONDS);
   }
 
   async function confirmCommit(
@@ -140,18 +142,21 @@
     const { position } = answer;
     const pollDelay = calculatePollDelay(request.route);
     const deadlineAt = Math.max(request.deadlineAt, request.arrived.at + HOLD_MILLISECONDS);
-    const copied = await primaryVerifier.verifyReplicated({
+    const replication = await primaryVerifier.waitForReplication({
       member,
       position,
       pollDelay,
       deadlineAt,
     });
-    const fate = copied === 'superseded' ? await settleSupersededWrite(request, position) : copied;
-    if (fate === 'copied' || fate === 'kept') {
+    const outcome =
+      replication === 'superseded'
+        ? await determineSupersededOutcome(request, position)
+        : replication;
+    if (outcome === 'replicated' || outcome === 'kept') {
       request.session.lastCommit = { position, seenAt: clock.now() };
       return answer;
     }
-    if (fate === 'discarded') {
+    if (outcome === 'discarded') {
       return refuse(
         context,
         request,
@@ -167,14 +172,20 @@
     );
   }
 
-  async function settleSupersededWrite(
+  async function determineSupersededOutcome(
     request: StatementRequest,
     position: Position,
   ): Promise<WriteFate> {
     const termOrigin = await readTermOrigin();
-    const fate = settleWrite(position, termOrigin);
-    logger.info('heldWriteSettled', { group, requestId: request.id, position, termOrigin, fate });
-    return fate;
+    const outcome = settleWrite(position, termOrigin);
+    logger.info('heldWriteSettled', {
+      group,
+      requestId: request.id,
+      position,
+      termOrigin,
+      fate: outcome,
+    });
+    return outcome;
   }
 
   return { write, runOnPrimary, confirmCommit };
