--- /dev/null
+++ b/packages/gateway/src/lib/groups/evidencePoller.ts
@@ -0,0 +1,83 @@
+import type { CancelTimer } from '../ports/clock';
+import { askMember } from './memberQuestions';
+import type { GroupContext } from './groupContext';
+import type { Member } from './member';
+
+/**
+ * Polls replicas when regular answers have not shown that the primary is current or a commit is
+ * replicated.
+ */
+export interface EvidencePoller {
+  /**
+   * Polls after `delay` milliseconds and then repeatedly.
+   *
+   * @returns a function that stops the polling.
+   */
+  startPolling: (delay: number) => () => void;
+  stop: () => void;
+}
+
+/** Pause between polls, in which a lagging replica can catch up. */
+const POLL_INTERVAL_MILLISECONDS = 150;
+
+/** Time limit of a poll, after which another replica is polled. */
+const POLL_TIMEOUT_MILLISECONDS = 400;
+
+interface PollRequest {
+  dueAt: number;
+  round: number;
+}
+
+/** Creates a poller in which one poll serves all waiting statements. */
+export function createEvidencePoller(context: GroupContext): EvidencePoller {
+  const { belief, members, clock } = context;
+  const pollRequests = new Set<PollRequest>();
+  let cancelNextPoll: CancelTimer | undefined;
+  let isPolling = false;
+
+  function schedule(): void {
+    cancelNextPoll?.();
+    if (isPolling || pollRequests.size === 0) return;
+    const dueAt = Math.min(...[...pollRequests].map((request) => request.dueAt));
+    cancelNextPoll = clock.after(dueAt - clock.now(), () => {
+      void poll();
+    });
+  }
+
+  async function poll(): Promise<void> {
+    const polled = [...pollRequests];
+    const member = chooseReplica(Math.max(...polled.map((request) => request.round)));
+    isPolling = true;
+    if (member) await askMember(context, member, { type: 'status' }, POLL_TIMEOUT_MILLISECONDS);
+    isPolling = false;
+    const dueAt = clock.now() + POLL_INTERVAL_MILLISECONDS;
+    for (const request of polled) Object.assign(request, { dueAt, round: request.round + 1 });
+    schedule();
+  }
+
+  /** Cycles through the replicas by ascending latency, skipping those in backoff unless all are. */
+  function chooseReplica(round: number): Member | undefined {
+    const primary = belief.find();
+    const replicas = [...members.values()]
+      .filter((member) => member !== primary && member.missingSince === undefined)
+      .sort(
+        (left, right) => left.latency.current(clock.now()) - right.latency.current(clock.now()),
+      );
+    const notInBackoff = replicas.filter(({ avoidUntil }) => avoidUntil <= clock.now());
+    const candidates = notInBackoff.length > 0 ? notInBackoff : replicas;
+    return candidates[round % Math.max(1, candidates.length)];
+  }
+
+  return {
+    startPolling: (delay) => {
+      const request: PollRequest = { dueAt: clock.now() + delay, round: 0 };
+      pollRequests.add(request);
+      schedule();
+      return () => {
+        pollRequests.delete(request);
+        schedule();
+      };
+    },
+    stop: () => cancelNextPoll?.(),
+  };
+}
--- /dev/null
+++ b/packages/gateway/src/lib/groups/transactionOpener.ts
@@ -0,0 +1,284 @@
+import type { UpstreamAnswer, UpstreamCommand } from '@wisterialift/pooling';
+import type { Position } from '@wisterialift/schema';
+import { attemptCommand, recordLatency, runWithDeadline } from './attemptCommand';
+import { createSequencedTime, logIfLeaving, observeAnswer } from './groupContext';
+import type { GroupAccess, OpenOptions, Transaction } from './groupAccess';
+import type { GroupContext } from './groupContext';
+import { releaseConnection } from './releaseConnection';
+import type { Member } from './member';
+import { calculatePollDelay } from './primaryVerifier';
+import type { PrimaryVerifier } from './primaryVerifier';
+import type { ReadRouter } from './readRouter';
+import { refuse, refuseForNow, refuseUnroutable } from './refusals';
+import { isWrite, toCommand } from './statementRequest';
+import type { StatementRequest } from './statementRequest';
+import { prepareConnection } from './upstreamPool';
+import type { PooledConnection } from './upstreamPool';
+import type { WriteRouter } from './writePath';
+
+export interface TransactionOpener {
+  open: GroupAccess['openTransaction'];
+}
+
+/** Precedes callers' statements, whose priorities start at 0; lower goes first. */
+const TRANSACTION_PRIORITY = -1;
+
+/** Pause before a statement that a busy member refused is retried. */
+const BUSY_RETRY_DELAY_MILLISECONDS = 20;
+
+/** Outcome of a statement in a transaction; only the first one can be `notSent`. */
+type StepOutcome =
+  { type: 'answered'; answer: UpstreamAnswer } | { type: 'lost' } | { type: 'notSent' };
+
+interface OpenedTransaction {
+  member: Member;
+  connection: PooledConnection;
+  /** Whether reads of the transaction are current; answers are held until this resolves. */
+  verification: Promise<boolean>;
+}
+
+export function createTransactionOpener(
+  context: GroupContext,
+  components: { reads: ReadRouter; writes: WriteRouter; primaryVerifier: PrimaryVerifier },
+): TransactionOpener {
+  const { clock, logger, group } = context;
+  const { reads, writes, primaryVerifier } = components;
+
+  async function open(
+    request: StatementRequest,
+    { isReadOnly, began }: OpenOptions,
+  ): Promise<{ transaction: Transaction } | { refusal: UpstreamAnswer }> {
+    const canReadReplica = isReadOnly && request.route.consistency !== 'primary';
+    const opened = canReadReplica
+      ? await openOnReplica(request)
+      : await openOnPrimary(request, { isReadOnly, began });
+    return 'refusal' in opened ? opened : { transaction: createTransaction(opened) };
+  }
+
+  async function openOnReplica(
+    request: StatementRequest,
+  ): Promise<OpenedTransaction | { refusal: UpstreamAnswer }> {
+    const createBeginCommand = (after?: Position): UpstreamCommand => ({
+      type: 'begin',
+      isReadOnly: true,
+      after,
+    });
+    const { answer, routed } = await reads.run(request, createBeginCommand);
+    if (!routed) return { refusal: answer };
+    return { ...routed, verification: Promise.resolve(true) };
+  }
+
+  async function openOnPrimary(
+    request: StatementRequest,
+    { isReadOnly, began }: OpenOptions,
+  ): Promise<OpenedTransaction | { refusal: UpstreamAnswer }> {
+    const { deadlineAt } = request;
+    const command: UpstreamCommand = { type: 'begin', isReadOnly };
+    const result = await writes.runOnPrimary(request, {
+      isPrimaryOnly: !isReadOnly,
+      run: (member) => attemptCommand(context, member, { request, command, deadlineAt }),
+    });
+    if (result?.outcome.type !== 'answered') return { refusal: refuseBegin(request) };
+    const { member, outcome } = result;
+    const { answer, connection } = outcome;
+    if (answer.outcome === 'refused' || !answer.position) {
+      releaseConnection(context, { member, connection, transaction: answer.transaction });
+      return { refusal: refuseBegin(request) };
+    }
+    const verification = primaryVerifier.verifyCurrent({
+      member,
+      term: answer.position.term,
+      eventStamp: began,
+      maximumStaleness: request.route.maximumStaleness,
+      pollDelay: calculatePollDelay(request.route),
+      deadlineAt,
+    });
+    return { member, connection, verification };
+  }
+
+  function refuseBegin(request: StatementRequest): UpstreamAnswer {
+    return refuseUnroutable(context, request, 'busy', 'no member can take the transaction');
+  }
+
+  function createTransaction({ member, connection, verification }: OpenedTransaction): Transaction {
+    let hasWritten = false;
+    let hasRun = false;
+    let isEnded = false;
+    let lastStep: Promise<unknown> = Promise.resolve();
+    const unpin = member.pool.pin();
+
+    /** Ends the transaction; its connection must not be used afterwards. */
+    function end(): void {
+      isEnded = true;
+      unpin();
+    }
+
+    /**
+     * Runs steps sequentially. A rollback during a commit would release the connection twice, and
+     * two sessions would share it.
+     */
+    function runInOrder<Value>(step: () => Promise<Value>): Promise<Value> {
+      const next = lastStep.then(step);
+      lastStep = next.catch(() => undefined);
+      return next;
+    }
+
+    function discard(): void {
+      end();
+      member.pool.discard(connection);
+    }
+
+    async function sendOnce(request: StatementRequest): Promise<StepOutcome> {
+      const { session, prepared } = request;
+      const queuedAt = clock.now();
+      const refused = await prepareForStatement(request, session.state, prepared?.statement);
+      if (refused) return refused;
+      const deadlineAt = calculateSendDeadline(request);
+      // The transaction holds a connection and locks, so its statements take priority.
+      const { goal } = request.route;
+      const admissionRequest = {
+        priority: TRANSACTION_PRIORITY,
+        goal,
+        arrivedAt: clock.now(),
+        deadlineAt,
+        hasConnection: true,
+      };
+      const admissionResult = await member.admission.enter(admissionRequest);
+      // Without admission, the transaction ends as if the answer were lost.
+      if (admissionResult !== 'admitted') return { type: canRun() ? 'lost' : 'notSent' };
+      if (!canRun()) {
+        member.admission.leave(admissionRequest);
+        return { type: 'notSent' };
+      }
+      if (!hasRun) logIfLeaving(context, member, { requestId: request.id, queuedAt });
+      const sentStamp = createSequencedTime(context);
+      const command = toCommand(request);
+      const running = runWithDeadline(context, {
+        connection,
+        command,
+        deadlineAt: request.deadlineAt,
+      });
+      const outcome = await running.finally(() => member.admission.leave(admissionRequest));
+      recordLatency(context, member, sentStamp, outcome);
+      if (outcome.type === 'answered') observeAnswer(context, member, sentStamp, outcome.answer);
+      hasRun ||= !isBusy(outcome);
+      return outcome;
+    }
+
+    /** Whether the transaction has run statements or the member still accepts new transactions. */
+    function canRun(): boolean {
+      return hasRun || context.leavingPolicy.canAccept(member);
+    }
+
+    function calculateSendDeadline({ deadlineAt }: StatementRequest): number {
+      return hasRun ? deadlineAt : context.leavingPolicy.limitDeadline(member, deadlineAt);
+    }
+
+    async function prepareForStatement(
+      request: StatementRequest,
+      ...[session, statement]: [
+        StatementRequest['session']['state'],
+        Parameters<typeof prepareConnection>[2],
+      ]
+    ): Promise<StepOutcome | undefined> {
+      try {
+        const answer = await prepareConnection(connection, session, statement);
+        return answer && { type: 'answered', answer };
+      } catch (error) {
+        logger.warn('transactionConnectionLost', {
+          group,
+          requestId: request.id,
+          memberId: member.entry.memberId,
+          error: error as Error,
+        });
+        return { type: 'lost' };
+      }
+    }
+
+    async function run(request: StatementRequest): Promise<UpstreamAnswer> {
+      if (isEnded) return refuseAborted(request, 'the transaction has ended');
+      const outcome = await runWithBusyRetries(request);
+      if (outcome.type === 'notSent') return refuseFirstStatement(request);
+      if (outcome.type === 'lost') {
+        discard();
+        context.suspectPrimary('silent', member);
+        // The member rolls the transaction back because the connection is closed.
+        return refuseAborted(request, 'the member did not answer within the transaction');
+      }
+      if (isWrite(request)) hasWritten = true;
+      if (!(await verification)) {
+        rollBack();
+        return refuseAborted(request, 'the primary may have been replaced');
+      }
+      return outcome.answer;
+    }
+
+    /** Retries a statement refused by a busy member until the deadline. */
+    async function runWithBusyRetries(request: StatementRequest): Promise<StepOutcome> {
+      let outcome = await sendOnce(request);
+      while (isBusy(outcome) && clock.now() + BUSY_RETRY_DELAY_MILLISECONDS < request.deadlineAt) {
+        await clock.pause(BUSY_RETRY_DELAY_MILLISECONDS);
+        outcome = await sendOnce(request);
+      }
+      return outcome;
+    }
+
+    async function commit(request: StatementRequest): Promise<UpstreamAnswer> {
+      if (isEnded) return refuseAborted(request, 'the transaction has ended');
+      const outcome = await runWithBusyRetries(request);
+      if (outcome.type === 'notSent') return refuseFirstStatement(request);
+      if (outcome.type === 'lost') {
+        discard();
+        context.suspectPrimary('silent', member);
+        if (!hasWritten) return refuseAborted(request, 'the member did not answer the commit');
+        return refuse(context, request, 'unknownOutcome', 'the primary did not answer the commit');
+      }
+      const { answer } = outcome;
+      end();
+      releaseConnection(context, { member, connection, transaction: answer.transaction });
+      if (!(await verification)) return answerUnverifiedCommit(request, answer);
+      return hasWritten ? writes.confirmCommit(request, member, answer) : answer;
+    }
+
+    /** Answers a commit whose reads could not be verified as current. */
+    function answerUnverifiedCommit(
+      request: StatementRequest,
+      answer: UpstreamAnswer,
+    ): UpstreamAnswer {
+      if (answer.outcome === 'refused') return answer;
+      if (!hasWritten) return refuseAborted(request, 'the primary may have been replaced');
+      return refuse(context, request, 'unknownOutcome', 'the primary may have been replaced');
+    }
+
+    function rollBack(): void {
+      if (isEnded) return;
+      end();
+      releaseConnection(context, { member, connection, transaction: 'open' });
+    }
+
+    function refuseFirstStatement(request: StatementRequest): UpstreamAnswer {
+      rollBack();
+      const answer = refuseForNow(context, request, 'aborted', 'the member is leaving');
+      return { ...answer, transaction: 'failed' };
+    }
+
+    function refuseAborted(request: StatementRequest, detail: string): UpstreamAnswer {
+      return { ...refuse(context, request, 'aborted', detail), transaction: 'failed' };
+    }
+
+    return {
+      run: (request) => runInOrder(() => run(request)),
+      commit: (request) => runInOrder(() => commit(request)),
+      rollBack: () => {
+        void runInOrder(async () => rollBack());
+      },
+    };
+  }
+
+  return { open };
+}
+
+function isBusy(outcome: StepOutcome): boolean {
+  if (outcome.type !== 'answered' || outcome.answer.outcome !== 'refused') return false;
+  return outcome.answer.reason === 'busy' && outcome.answer.transaction === 'open';
+}
--- a/packages/gateway/src/lib/groups/writePath.ts
+++ b/packages/gateway/src/lib/groups/writePath.ts
@@ -1,48 +1,49 @@
 import { settleWrite } from '@wisterialift/pooling';
 import type { FailureReason, TermOrigin, UpstreamAnswer, WriteFate } from '@wisterialift/pooling';
 import type { Position } from '@wisterialift/schema';
-import { attempt } from './attempt';
-import type { AttemptOutcome } from './attempt';
+import { attemptCommand } from './attemptCommand';
+import type { AttemptOutcome } from './attemptCommand';
 import type { GroupContext } from './groupContext';
-import { giveBack } from './giveBack';
+import { releaseConnection } from './releaseConnection';
 import type { Member } from './member';
-import { patienceOf } from './primaryProof';
-import type { PrimaryProof } from './primaryProof';
-import { refuse, refuseUnplaced } from './refusals';
+import { calculatePollDelay } from './primaryVerifier';
+import type { PrimaryVerifier } from './primaryVerifier';
+import { refuse, refuseUnroutable } from './refusals';
 import { toCommand } from './statementRequest';
 import type { StatementRequest } from './statementRequest';
 
-export interface WritePath {
-  /** Runs one write outside of a transaction. */
+export interface WriteRouter {
+  /** Runs one write outside a transaction. */
   write: (request: StatementRequest) => Promise<UpstreamAnswer>;
   /**
-   * Runs attempts at the primary until one was answered with anything but "did not run".
+   * Retries a command at the primary until it may have run, the deadline passes or no primary can
+   * take it.
    *
-   * @param options.provesPrimary - whether only a primary completes the command. A replica begins a
-   *   read-only transaction as well; taken for a primary by that, its log would pass for the newest.
+   * @param options.isPrimaryOnly - whether only a primary completes the command, so that its
+   *   completed answer confirms the member as primary. A replica also begins read-only transactions.
+   * @returns undefined if the command certainly did not run.
    */
-  runAtPrimary: (
+  runOnPrimary: (
     request: StatementRequest,
     options: {
-      provesPrimary: boolean;
+      isPrimaryOnly: boolean;
       run: (member: Member) => Promise<AttemptOutcome>;
     },
   ) => Promise<{ member: Member; outcome: AttemptOutcome } | undefined>;
-  /** Holds the answer to a commit until it cannot be lost, or says what became of it. */
-  acknowledge: (
+  /** Holds a commit's answer until the commit is replicated or its outcome is otherwise known. */
+  confirmCommit: (
     request: StatementRequest,
     member: Member,
     answer: UpstreamAnswer,
   ) => Promise<UpstreamAnswer>;
 }
 
-/** Pause after "did not run" before the primary is asked again: about one statement's time. */
-const BUSY_PAUSE_MILLISECONDS = 20;
+/** Pause before a command is tried again or the primary is looked up again. */
+const RETRY_DELAY_MILLISECONDS = 20;
 
 /**
- * Time that a commit's answer is held at the most, unless its route allows more. A change of primary
- * takes about that long, and settles the commit as kept or discarded; before it, the caller could
- * only be told that the outcome is unknown, and would have to give the operation up.
+ * Minimum time after a write's arrival for which the confirmation of its commit is awaited, even
+ * beyond the request's deadline. Covers a change of primary, after which the outcome is known.
  */
 export const HOLD_MILLISECONDS = 3_500;
 
@@ -53,50 +54,53 @@
   'unknownStatement',
 ]);
 
-export function createWritePath(
+export function createWriteRouter(
   context: GroupContext,
-  options: { proof: PrimaryProof; readTermOrigin: () => Promise<TermOrigin | undefined> },
-): WritePath {
-  const { belief, clock, counters, group, leaving, logger } = context;
-  const { proof, readTermOrigin } = options;
+  options: {
+    primaryVerifier: PrimaryVerifier;
+    readTermOrigin: () => Promise<TermOrigin | undefined>;
+  },
+): WriteRouter {
+  const { belief, clock, counters, group, leavingPolicy, logger } = context;
+  const { primaryVerifier, readTermOrigin } = options;
 
   async function write(request: StatementRequest): Promise<UpstreamAnswer> {
     const command = toCommand(request);
     const { deadlineAt } = request;
-    const ran = await runAtPrimary(request, {
-      provesPrimary: true,
-      run: (member) => attempt(context, member, { request, command, deadlineAt }),
+    const result = await runOnPrimary(request, {
+      isPrimaryOnly: true,
+      run: (member) => attemptCommand(context, member, { request, command, deadlineAt }),
     });
-    if (!ran) return refuseUnplaced(context, request, 'busy', 'no primary can take the write');
-    const { member, outcome } = ran;
+    if (!result) return refuseUnroutable(context, request, 'busy', 'no primary can take the write');
+    const { member, outcome } = result;
     if (outcome.type !== 'answered') {
       return refuse(context, request, 'unknownOutcome', 'the primary did not answer the write');
     }
     const { answer, connection } = outcome;
-    giveBack(context, { member, connection, transaction: answer.transaction });
-    return acknowledge(request, member, answer);
+    releaseConnection(context, { member, connection, transaction: answer.transaction });
+    return confirmCommit(request, member, answer);
   }
 
-  const mayStillRun = ({ deadlineAt }: StatementRequest) =>
-    clock.now() < deadlineAt && !proof.isStalled() && !leaving.isGroupClosed();
+  const canStillRun = ({ deadlineAt }: StatementRequest) =>
+    clock.now() < deadlineAt && !primaryVerifier.isStalled() && !leavingPolicy.isGroupClosed();
 
-  async function runAtPrimary(
+  async function runOnPrimary(
     request: StatementRequest,
-    { provesPrimary, run }: Parameters<WritePath['runAtPrimary']>[1],
+    { isPrimaryOnly, run }: Parameters<WriteRouter['runOnPrimary']>[1],
   ): Promise<{ member: Member; outcome: AttemptOutcome } | undefined> {
-    while (mayStillRun(request)) {
+    while (canStillRun(request)) {
       const member = belief.find();
-      if (!member || member.avoidUntil > clock.now() || !leaving.mayTake(member)) {
+      if (!member || member.avoidUntil > clock.now() || !leavingPolicy.canAccept(member)) {
         if (!member) context.suspectPrimary('absent', undefined);
         await belief.waitForChange(
-          Math.min(BUSY_PAUSE_MILLISECONDS, request.deadlineAt - clock.now()),
+          Math.min(RETRY_DELAY_MILLISECONDS, request.deadlineAt - clock.now()),
         );
         continue;
       }
       const outcome = await run(member);
-      if (!isNotRun(outcome)) {
+      if (!isSafeToRetry(outcome)) {
         if (outcome.type === 'lost') context.suspectPrimary('silent', member);
-        if (provesPrimary) noteProof(member, outcome);
+        if (isPrimaryOnly) recordConfirmation(member, outcome);
         return { member, outcome };
       }
       if (outcome.type === 'notSent' && outcome.cause === 'noCapacity') return undefined;
@@ -106,10 +110,10 @@
     return undefined;
   }
 
-  function noteProof(member: Member, outcome: AttemptOutcome): void {
+  function recordConfirmation(member: Member, outcome: AttemptOutcome): void {
     if (outcome.type !== 'answered' || outcome.answer.outcome !== 'completed') return;
     const { position } = outcome.answer;
-    if (position) belief.provePrimary(member.entry.memberId, position.term);
+    if (position) belief.confirmPrimary(member.entry.memberId, position.term);
   }
 
   async function handleNotRun(member: Member, outcome: AttemptOutcome): Promise<void> {
@@ -118,15 +122,15 @@
     }
     if (outcome.type === 'answered') {
       const { transaction } = outcome.answer;
-      giveBack(context, { member, connection: outcome.connection, transaction });
+      releaseConnection(context, { member, connection: outcome.connection, transaction });
       const isReplica =
         outcome.answer.outcome === 'refused' && outcome.answer.reason === 'readOnly';
-      if (isReplica) belief.denyPrimary(member, outcome.answer.position?.term ?? 0);
+      if (isReplica) belief.rejectPrimary(member, outcome.answer.position?.term ?? 0);
     }
-    await belief.waitForChange(BUSY_PAUSE_MILLISECONDS);
+    await belief.waitForChange(RETRY_DELAY_MILLISECONDS);
   }
 
-  async function acknowledge(
+  async function confirmCommit(
     request: StatementRequest,
     member: Member,
     answer: UpstreamAnswer,
@@ -136,15 +140,23 @@
       return refuse(context, request, 'unknownOutcome', 'the primary told no position');
     }
     const { position } = answer;
-    const patience = patienceOf(request.route);
+    const pollDelay = calculatePollDelay(request.route);
     const deadlineAt = Math.max(request.deadlineAt, request.arrived.at + HOLD_MILLISECONDS);
-    const copied = await proof.proveCopied({ member, position, patience, deadlineAt });
-    const fate = copied === 'superseded' ? await settle(request, position) : copied;
-    if (fate === 'copied' || fate === 'kept') {
+    const replication = await primaryVerifier.waitForReplication({
+      member,
+      position,
+      pollDelay,
+      deadlineAt,
+    });
+    const outcome =
+      replication === 'superseded'
+        ? await determineSupersededOutcome(request, position)
+        : replication;
+    if (outcome === 'replicated' || outcome === 'kept') {
       request.session.lastCommit = { position, seenAt: clock.now() };
       return answer;
     }
-    if (fate === 'discarded') {
+    if (outcome === 'discarded') {
       return refuse(
         context,
         request,
@@ -160,18 +172,27 @@
     );
   }
 
-  async function settle(request: StatementRequest, position: Position): Promise<WriteFate> {
+  async function determineSupersededOutcome(
+    request: StatementRequest,
+    position: Position,
+  ): Promise<WriteFate> {
     const termOrigin = await readTermOrigin();
-    const fate = settleWrite(position, termOrigin);
-    logger.info('heldWriteSettled', { group, requestId: request.id, position, termOrigin, fate });
-    return fate;
+    const outcome = settleWrite(position, termOrigin);
+    logger.info('heldWriteSettled', {
+      group,
+      requestId: request.id,
+      position,
+      termOrigin,
+      fate: outcome,
+    });
+    return outcome;
   }
 
-  return { write, runAtPrimary, acknowledge };
+  return { write, runOnPrimary, confirmCommit };
 }
 
-/** Whether it is certain that the statement did not run, so that it may be sent again. */
-function isNotRun(outcome: AttemptOutcome): boolean {
+/** Whether the statement certainly did not run and can be retried. */
+function isSafeToRetry(outcome: AttemptOutcome): boolean {
   if (outcome.type === 'notSent') return true;
   if (outcome.type === 'lost' || outcome.answer.outcome === 'completed') return false;
   return NOT_RUN_REASONS.has(outcome.answer.reason);
