--- a/packages/gateway/src/lib/errors/noConnectionError.ts
+++ b/packages/gateway/src/lib/errors/noConnectionError.ts
@@ -1,4 +1,4 @@
-/** No connection could be had in the time that was left. */
+/** No connection to a member became available before the deadline. */
 export class NoConnectionError extends Error {
   override readonly name = 'NoConnectionError';
 }
--- a/packages/gateway/src/lib/errors/relayMessageError.ts
+++ b/packages/gateway/src/lib/errors/relayMessageError.ts
@@ -1,4 +1,4 @@
-/** A message of another instance that cannot be understood. */
+/** A relay message from another instance is malformed. */
 export class RelayMessageError extends Error {
   override readonly name = 'RelayMessageError';
 }
--- a/packages/gateway/src/lib/errors/upstreamLostError.ts
+++ b/packages/gateway/src/lib/errors/upstreamLostError.ts
@@ -1,8 +1,8 @@
-/** A connection to a member ended, or could not be opened, without an answer. @public */
+/** A connection to a member could not be opened or was lost before an answer. @public */
 export class UpstreamLostError extends Error {
   override readonly name = 'UpstreamLostError';
 
-  /** Whether the member's address answered that nothing listens there. */
+  /** Whether the connection was refused because nothing listens at the member's address. */
   readonly isRefused: boolean;
 
   constructor(message: string, options: { isRefused?: boolean; cause?: unknown } = {}) {
--- a/packages/gateway/src/lib/errors/upstreamRefusedError.ts
+++ b/packages/gateway/src/lib/errors/upstreamRefusedError.ts
@@ -1,6 +1,6 @@
 import type { FailureReason } from '@wisterialift/pooling';
 
-/** A member refused a connection. @public */
+/** A member rejected a connection with a failure reason. @public */
 export class UpstreamRefusedError extends Error {
   override readonly name = 'UpstreamRefusedError';
 
--- a/packages/gateway/src/lib/mechanisms.ts
+++ b/packages/gateway/src/lib/mechanisms.ts
@@ -1,29 +1,29 @@
-/** Decisions that can be left out one by one, to measure what each is worth to callers. @public */
+/** Optimizations that experiments can disable one at a time to measure their effect. @public */
 export const MECHANISMS = [
-  /** A read without an answer is tried at a second member. */
+  /** Sends a slow read to a second member as well. */
   'hedging',
-  /** A read waits for a replica that will soon have applied what it needs. */
+  /** Lets a read wait for a replica that will soon have applied the required position. */
   'waitingForReplicas',
-  /** A replica whose lag was learned long ago is tried by a read. */
+  /** Sends a read to a replica whose lag measurement is out of date. */
   'trialReads',
-  /** A read that finds a member full looks at the others before it is refused. */
+  /** Tries the other members before refusing a read because the chosen member is full. */
   'secondChoice',
-  /** A read that waits for its turn at a member looks at the others again. */
+  /** Reconsiders the other members while a read is queued. */
   'lookingAgain',
-  /** A queue that stands for long admits no more than a part of the goal. */
+  /** Limits the queueing time to a part of the goal while a queue persists. */
   'shortQueueInOverload',
-  /** Reads that replicas can show leave the primary to what only it can run. */
+  /** Keeps reads that replicas can serve away from the primary. */
   'reservedPrimary',
-  /** A floor is learned before the first read asks for it. */
+  /** Determines the minimum read position of a group before the first read needs it. */
   'lookingAhead',
-  /** Idle connections above the fair share are closed soon, so that others find room. */
+  /** Closes idle connections above the fair share early, freeing them for other instances. */
   'closingIdle',
-  /** Instances hold connections for others where a member takes few. */
+  /** Shares the connections of a few instances if members accept too few for all. */
   'holders',
 ] as const;
 
 /** @public */
 export type Mechanism = (typeof MECHANISMS)[number];
 
-/** Tells whether a mechanism is in use. */
+/** Returns whether a mechanism is enabled. */
 export type UsesMechanism = (mechanism: Mechanism) => boolean;
--- a/packages/gateway/src/lib/metrics/gatewayMetrics.ts
+++ b/packages/gateway/src/lib/metrics/gatewayMetrics.ts
@@ -3,14 +3,14 @@
 import type { Gateway } from '../createGateway';
 import type { AnswerSample } from '../sessions/callerSession';
 
-/** Counters and latency histograms of one instance. @public */
+/** Answer counters, latency quantiles and session count of one instance. @public */
 export interface GatewayMetrics {
   record: (sample: AnswerSample) => void;
-  /** The text that a collector of metrics reads. */
+  /** Renders the metrics in the Prometheus text format. */
   render: () => Promise<string>;
 }
 
-/** What the counters of a group mean. */
+/** Help texts of the counters of a group. */
 const GROUP_COUNTERS = {
   probes: 'questions to members that no caller asked for',
   retries: 'tries of statements after the first',
@@ -23,7 +23,7 @@
   sentToLeaving: 'statements sent to a member that leaves',
 } as const;
 
-/** @public */
+/** Creates the Prometheus metrics of a gateway. @public */
 export function createGatewayMetrics(gateway: Gateway): GatewayMetrics {
   const registry = new Registry();
   const registers = [registry];
--- a/packages/gateway/src/lib/ports/clock.ts
+++ b/packages/gateway/src/lib/ports/clock.ts
@@ -1,21 +1,22 @@
 import type { ClockReadings } from '@wisterialift/pooling';
 
-/** Cancels what was to run later; does nothing once it has run. @public */
+/** Cancels a scheduled action; has no effect once the action has run. @public */
 export type CancelTimer = () => void;
 
-/** Where the tasks get the time from, and have it call them back. @public */
+/** Time source and timers; simulated in tests. @public */
 export interface Clock {
-  /** Milliseconds that never step back. */
+  /** Returns the monotonic time in milliseconds. */
   now: () => number;
+  /** Reads the monotonic clock and the time of day, in milliseconds. */
   readings: () => ClockReadings;
-  /** Runs an action once; a time that has passed means as soon as possible. */
+  /** Runs an action once after a delay; a negative delay counts as 0. */
   after: (milliseconds: number, action: () => void) => CancelTimer;
-  /** Runs an action again and again. */
+  /** Runs an action at a fixed interval. */
   every: (milliseconds: number, action: () => void) => CancelTimer;
   pause: (milliseconds: number) => Promise<void>;
 }
 
-/** The clocks of the process. @public */
+/** Creates a clock based on the timers of the process. @public */
 export function createProcessClock(): Clock {
   const now = () => performance.now();
 
--- a/packages/gateway/src/lib/ports/instancePort.ts
+++ b/packages/gateway/src/lib/ports/instancePort.ts
@@ -1,24 +1,24 @@
 import type { RelayAcceptor, RelayStream, RelayStreamEvents } from '@wisterialift/peer/relay';
 import type { HolderCandidate } from '@wisterialift/pooling';
 
-/** An instance as the list of instances has it. @public */
+/** An entry of the instance registry. @public */
 export interface InstanceEntry extends HolderCandidate {
-  /** Where it takes statements of other instances' callers. */
+  /** Address at which the instance accepts relay streams. */
   address: string;
 }
 
-/** The list of all instances, this one included. @public */
+/** Registry of all instances, including this one. @public */
 export interface InstanceRegistry {
-  /** Enters this instance and calls back with the list at each change. */
+  /** Registers this instance and calls `onChange` with the full list at each change. */
   follow: (onChange: (instances: InstanceEntry[]) => void) => void;
-  /** Another instance has not been reached for long; it is taken off the list unless it came back. */
+  /** Reports an unreachable instance, which is removed unless it has registered again. */
   reportGone: (instance: string) => void;
 }
 
-/** Streams between instances. @public */
+/** Opens and accepts relay streams between instances. @public */
 export interface RelayTransport {
   open: (address: string, events: RelayStreamEvents) => RelayStream;
-  /** Listens for streams of other instances; calls after the first do nothing. */
+  /** Listens for streams of other instances; later calls have no effect. */
   listen: (accept: RelayAcceptor) => void;
   close: () => void;
 }
--- a/packages/gateway/src/lib/ports/platformPort.ts
+++ b/packages/gateway/src/lib/ports/platformPort.ts
@@ -1,38 +1,38 @@
 import type { ClockReadings, PromotionRecord } from '@wisterialift/pooling';
 import type { GatewayConfiguration } from '../configuration/gatewayConfiguration';
 
-/** A member of a group as the directory lists it. @public */
+/** A directory entry of one member. @public */
 export interface DirectoryEntry {
   memberId: string;
   group: string;
   address: string;
   dataCentre: string;
-  /** Whether the member sees itself as the primary. */
+  /** Whether the member reports itself as the primary. */
   isPrimary: boolean;
   isLeaving: boolean;
-  /** Statements that it works at side by side. */
+  /** Number of statements that the member runs concurrently. */
   slots: number;
-  /** Rises with each change of the entry. */
+  /** Increases with each change of the entry. */
   revision: number;
-  /** When the member's present life began, by its own time of day; undefined where it tells none. */
+  /** Start time of the member's process by its own time of day, if it reports one. */
   startedAt?: number;
 }
 
-/** How old what a look at the directory brought may be. @public */
+/** Freshness of a directory snapshot. @public */
 export interface DirectoryAge {
-  /** Whether it holds all that was accepted before the look; otherwise it may be seconds old. */
+  /** Whether it includes every change accepted before the read; if not, it may be seconds old. */
   isFresh: boolean;
-  /** What is new was accepted after this time; undefined where the directory was never known whole. */
+  /** Changes new in this snapshot were accepted after this time; undefined until one was fresh. */
   newSince: ClockReadings | undefined;
 }
 
-/** Tells which members there are. @public */
+/** Source of the directory of members. @public */
 export interface DirectoryPort {
   /**
-   * Calls back with the whole directory at each change.
+   * Calls `onChange` with the full directory at each change.
    *
-   * @param options.isPrompt - whether changes must be known as soon as the platform's bounds ask;
-   *   otherwise a look now and then, which may be seconds old, is enough.
+   * @param options.isPrompt - whether changes must arrive within the bounds of the platform; if
+   *   not, occasional reads that may be seconds old are sufficient.
    */
   follow: (options: {
     onChange: (entries: DirectoryEntry[], age: DirectoryAge) => void;
@@ -40,12 +40,12 @@
   }) => void;
 }
 
-/** @public */
+/** Source of configuration versions. @public */
 export interface ConfigurationPort {
   follow: (onChange: (configuration: GatewayConfiguration) => void) => void;
 }
 
-/** A stored record and the revision that the next replacement must name. @public */
+/** A stored record and the revision to pass to the next replacement. @public */
 export interface StoredRecord {
   record: PromotionRecord;
   revision: number;
@@ -55,14 +55,14 @@
 export type ReplaceOutcome =
   | { type: 'replaced'; revision: number }
   | { type: 'conflict' }
-  /** No answer: it may have been replaced, now or later. */
+  /** No answer: the replacement may have been applied or may still be. */
   | { type: 'unknown' };
 
-/** Keeps a record for each group that all instances agree on. @public */
+/** Stores one promotion record per group, with conditional updates. @public */
 export interface PromotionStore {
-  /** @throws where the store does not answer. */
+  /** @throws Error if the store does not answer. */
   read: (group: string) => Promise<StoredRecord | undefined>;
-  /** Without a revision, the record must not exist yet. */
+  /** Replaces the record if its revision matches; without a revision, creates it if none exists. */
   replace: (options: {
     group: string;
     record: PromotionRecord;
@@ -70,10 +70,10 @@
   }) => Promise<ReplaceOutcome>;
 }
 
-/** Outcome of an order to promote. @public */
+/** Outcome of a promotion order. @public */
 export type OrderOutcome = 'accepted' | 'notRunning' | 'refused' | 'unknown';
 
-/** Has a member promoted by the party that may do so. @public */
+/** Sends promotion orders to the service that executes them. @public */
 export interface PromotionOrders {
   promote: (order: {
     group: string;
--- a/packages/gateway/src/lib/ports/upstreamPort.ts
+++ b/packages/gateway/src/lib/ports/upstreamPort.ts
@@ -1,14 +1,14 @@
 import type { MemberReport, UpstreamAnswer, UpstreamCommand } from '@wisterialift/pooling';
 
-/** One connection to a member; answers come in the order of the commands. @public */
+/** One connection to a member; answers arrive in command order. @public */
 export interface UpstreamConnection {
-  /** @throws UpstreamLostError where the connection ends before the whole answer. */
+  /** @throws UpstreamLostError if the connection ends before the answer is complete. */
   run: (command: UpstreamCommand) => Promise<UpstreamAnswer>;
   isOpen: () => boolean;
   close: () => void;
 }
 
-/** Whom to connect to; a member that is somebody else refuses. @public */
+/** Member to connect to; a process with another identity refuses the connection. @public */
 export interface UpstreamTarget {
   group: string;
   memberId: string;
@@ -16,13 +16,13 @@
   timeoutMilliseconds: number;
 }
 
-/** Speaks the protocol of the databases. @public */
+/** Client of the database protocol. @public */
 export interface UpstreamDriver {
   /**
-   * @throws UpstreamRefusedError where the member answers with a refusal.
-   * @throws UpstreamLostError where it does not answer.
+   * @throws UpstreamRefusedError if the member refuses the connection.
+   * @throws UpstreamLostError if the member does not answer.
    */
   connect: (target: UpstreamTarget) => Promise<UpstreamConnection>;
-  /** Reads the answer to `status`, `pause` or `demote`; undefined where it cannot be understood. */
+  /** Parses the answer to `status`, `pause` or `demote`; returns undefined if it is malformed. */
   readReport: (answer: UpstreamAnswer) => MemberReport | undefined;
 }
