--- a/packages/gateway/src/lib/promotion/promotionTask.ts
+++ b/packages/gateway/src/lib/promotion/promotionTask.ts
@@ -13,13 +13,13 @@
 import { askMember } from '../groups/memberQuestions';
 import type { PromotionOrders, PromotionStore, StoredRecord } from '../ports/platformPort';
 
-/** Replaces a primary that is dark, cut off or leaving. */
+/** Replaces a primary that is unresponsive, unreachable or leaving. */
 export interface PromotionTask {
-  /** Something speaks against the primary; looks into it unless it does already. */
+  /** Verifies a suspected primary failure; ignored during and shortly after a verification. */
   suspect: (cause: SuspicionCause, member: Member | undefined) => void;
-  /** Looks whether the directory lists a primary that stays. */
+  /** Starts a promotion check if the directory lists no primary or a replaceable leaving one. */
   reviewDirectory: () => void;
-  /** Where the newest term began, as its promoter recorded it. */
+  /** Reads the log position at which the newest recorded term began; undefined on a store error. */
   readTermOrigin: () => Promise<TermOrigin | undefined>;
   close: () => void;
 }
@@ -29,36 +29,39 @@
   dataCentre: string;
   store: PromotionStore;
   orders: PromotionOrders;
-  /** Uniform in [0, 1). */
+  /** Returns a uniform number in [0, 1). */
   random: () => number;
 }
 
-/** Time limit of a question or order to a member: three round trips between far data centres. */
-const QUESTION_MILLISECONDS = 400;
+/** Timeout of a request to a member: three round trips between distant data centres. */
+const MEMBER_REQUEST_TIMEOUT_MILLISECONDS = 400;
 
-/** Time limit of one order; a claim may be taken over only after this time and its own. */
-const ORDER_MILLISECONDS = 400;
+/** Timeout of a promotion order; `CLAIM_TAKEOVER_MILLISECONDS` allows for it. */
+const PROMOTION_ORDER_TIMEOUT_MILLISECONDS = 400;
 
-/** Between two looks at the replicas: a log that moves in it has a primary that lives. */
-const STANDSTILL_MILLISECONDS = 250;
+/** Interval between two status queries that detect whether replicas still receive log entries. */
+const REPLICATION_CHECK_MILLISECONDS = 250;
 
-/** Silence of the primary towards all statements of this instance that is worth a look. */
-const SILENCE_MILLISECONDS = 600;
+/** Time without any answer after which the primary may be suspected. */
+const PRIMARY_SILENCE_THRESHOLD_MILLISECONDS = 600;
 
-/** Causes that a primary which answers does not refute. */
-const CAUSES_BESIDE_LIFE: ReadonlySet<SuspicionCause> = new Set(['unconfirmed', 'leaving']);
+/** Causes that an answer from the primary does not disprove. */
+const CAUSES_INDEPENDENT_OF_LIVENESS: ReadonlySet<SuspicionCause> = new Set([
+  'unconfirmed',
+  'leaving',
+]);
 
-/** Pause after a look that cleared the primary or a promotion that did not come about. */
-const PAUSE_MILLISECONDS = 400;
+/** Delay after a verification or promotion before the next one may start. */
+const RETRY_DELAY_MILLISECONDS = 400;
 
-/** Instances look at slightly different times, so that one claims before the others try. */
-const SPREAD_MILLISECONDS = 120;
+/** Random start delay, so that instances do not all claim the promotion at once. */
+const MAXIMUM_START_JITTER_MILLISECONDS = 120;
 
-/** Time for a promoted member to lead before it is asked: the longest that members need, and a way. */
-const TAKE_OVER_MILLISECONDS = 1_300;
+/** Time for a promoted member to become primary before its status is queried. */
+const TAKEOVER_WAIT_MILLISECONDS = 1_300;
 
-/** A change of primary that is not seen after this time is looked at anew. */
-const FOLLOW_MILLISECONDS = 3_000;
+/** Time after which a promotion that has not taken effect may be repeated. */
+const PROMOTION_TIMEOUT_MILLISECONDS = 3_000;
 
 export function createPromotionTask(
   context: GroupContext,
@@ -70,9 +73,10 @@
   let isClosed = false;
   let seenRevision: { revision: number; since: number } | undefined;
 
-  const isSilent = (member: Member) => clock.now() - member.answeredAt > SILENCE_MILLISECONDS;
+  const isSilent = (member: Member) =>
+    clock.now() - member.answeredAt > PRIMARY_SILENCE_THRESHOLD_MILLISECONDS;
 
-  const isGone = (member: Member) => member.missingSince !== undefined;
+  const isMissing = (member: Member) => member.missingSince !== undefined;
 
   function suspect(cause: SuspicionCause, member: Member | undefined): void {
     if (isBusy || isClosed || members.size === 0) return;
@@ -80,7 +84,7 @@
     if (member && member !== belief.find()) return;
     isBusy = true;
     void handleSuspicion(cause, member).finally(() => {
-      clock.after(PAUSE_MILLISECONDS, () => {
+      clock.after(RETRY_DELAY_MILLISECONDS, () => {
         isBusy = false;
       });
     });
@@ -97,73 +101,86 @@
 
   async function handleSuspicion(cause: SuspicionCause, member: Member | undefined): Promise<void> {
     try {
-      await clock.pause(options.random() * SPREAD_MILLISECONDS);
+      await clock.pause(options.random() * MAXIMUM_START_JITTER_MILLISECONDS);
       logger.warn('primarySuspected', { group, cause, memberId: member?.entry.memberId });
-      if (await isCleared(cause, member)) return;
+      if (await canSkipPromotion(cause, member)) return;
       await promote(cause, member);
     } catch (error) {
       logger.error('promotionFailed', { group, cause, error: error as Error });
     }
   }
 
-  /** Looks again with fresh questions; one sign of life of a primary that stays clears it. */
-  async function isCleared(cause: SuspicionCause, member: Member | undefined): Promise<boolean> {
-    const before = await askAll(member);
-    const leaders = before.filter(({ report }) => report?.isPrimary);
-    const successor = leaders.find(({ isSuspect }) => !isSuspect);
-    const [cleared] = successor || CAUSES_BESIDE_LIFE.has(cause) ? [successor] : leaders;
-    if (cleared) {
-      logger.info('primaryCleared', { group, cause, memberId: cleared.member.entry.memberId });
+  /** Returns whether a primary is healthy or a replica unresponsive, so that none is promoted. */
+  async function canSkipPromotion(
+    cause: SuspicionCause,
+    member: Member | undefined,
+  ): Promise<boolean> {
+    const before = await queryMembers(member);
+    const reportedPrimaries = before.filter(({ report }) => report?.isPrimary);
+    const successor = reportedPrimaries.find(({ isSuspect }) => !isSuspect);
+    const [healthyPrimary] =
+      successor || CAUSES_INDEPENDENT_OF_LIVENESS.has(cause) ? [successor] : reportedPrimaries;
+    if (healthyPrimary) {
+      logger.info('primaryCleared', {
+        group,
+        cause,
+        memberId: healthyPrimary.member.entry.memberId,
+      });
       return true;
     }
-    if (cause === 'leaving') return !canStopAll(before);
-    await clock.pause(STANDSTILL_MILLISECONDS);
-    const after = await askAll(member);
-    if (hasMoved(before, after)) {
-      logger.info('primaryCleared', { group, cause, detail: 'the replicas receive its log' });
+    if (cause === 'leaving') return !hasResponseFromEveryReplica(before);
+    await clock.pause(REPLICATION_CHECK_MILLISECONDS);
+    const after = await queryMembers(member);
+    if (hasReplicationAdvanced(before, after)) {
+      logger.info('primaryCleared', { group, cause, detail: 'replicas still receive its log' });
       return true;
     }
-    const isReplacedSince = after.some((look) => look.report?.isPrimary && !look.isSuspect);
-    return isReplacedSince || !canStopAll(after);
+    const hasNewPrimary = after.some((status) => status.report?.isPrimary && !status.isSuspect);
+    return hasNewPrimary || !hasResponseFromEveryReplica(after);
   }
 
   /**
-   * Whether all replicas answered, so that a promotion would not end half way.
-   *
-   * A replica that was stopped for a promotion which another one's silence then ended receives
-   * nothing any more, and a primary that lives finds nobody to copy its commits.
+   * Whether all replicas answered. A promotion that pauses some replicas and then fails on another
+   * would leave a live primary unable to replicate its commits.
    */
-  function canStopAll(look: Look): boolean {
-    const silent = look.filter(({ isSuspect, report }) => !isSuspect && !report);
-    if (silent.length === 0) return true;
-    const memberIds = silent.map(({ member }) => member.entry.memberId);
+  function hasResponseFromEveryReplica(statuses: MemberStatuses): boolean {
+    const unresponsive = statuses.filter(({ isSuspect, report }) => !isSuspect && !report);
+    if (unresponsive.length === 0) return true;
+    const memberIds = unresponsive.map(({ member }) => member.entry.memberId);
     logger.warn('replicasSilent', { group, memberIds });
     return false;
   }
 
-  function askAll(primary: Member | undefined): Promise<Look> {
-    const asked = [...members.values()].filter((member) => member.missingSince === undefined);
+  function queryMembers(primary: Member | undefined): Promise<MemberStatuses> {
+    const listedMembers = [...members.values()].filter(
+      (member) => member.missingSince === undefined,
+    );
     return Promise.all(
-      asked.map(async (member) => ({
+      listedMembers.map(async (member) => ({
         member,
         isSuspect: member === primary,
-        report: await askMember(context, member, { type: 'status' }, QUESTION_MILLISECONDS),
+        report: await askMember(
+          context,
+          member,
+          { type: 'status' },
+          MEMBER_REQUEST_TIMEOUT_MILLISECONDS,
+        ),
       })),
     );
   }
 
-  function hasMoved(before: Look, after: Look): boolean {
+  function hasReplicationAdvanced(before: MemberStatuses, after: MemberStatuses): boolean {
     return after.some(({ member, isSuspect, report }) => {
-      const earlier = before.find((look) => look.member === member)?.report;
+      const earlier = before.find((status) => status.member === member)?.report;
       if (isSuspect || !report || !earlier) return false;
       return comparePositions(report.received, earlier.received) > 0;
     });
   }
 
-  /** Whether a member stays that could take the primary's place. */
+  /** Whether a listed member other than the primary is available for promotion. */
   function hasCandidate(primary: Member | undefined): boolean {
     return [...members.values()].some(
-      (member) => member !== primary && !member.entry.isLeaving && !isGone(member),
+      (member) => member !== primary && !member.entry.isLeaving && !isMissing(member),
     );
   }
 
@@ -172,24 +189,23 @@
       logger.info('promotionWithoutCandidate', { group, cause });
       return;
     }
-    const claim = await claimDuty(primary);
+    const claim = await claimPromotion(primary);
     if (!claim) return;
-    const stopped = await stopReplicas(primary);
-    if (!stopped) {
-      await giveUp(claim, primary);
+    const pausedReplicas = await pauseReplicas(primary);
+    if (!pausedReplicas) {
+      await abandonPromotion(claim, primary);
       return;
     }
-    await orderCandidate({ cause, primary, claim, stopped });
+    await orderPromotion({ cause, primary, claim, pausedReplicas });
   }
 
   /**
-   * Claims the duty under the record's revision, so that of several instances one gets it.
-   *
-   * A claim that another instance holds is left alone until it must have lapsed.
+   * Claims the promotion with a conditional update, so that only one instance succeeds. A claim of
+   * another instance stays in force until it must have expired.
    */
-  async function claimDuty(primary: Member | undefined): Promise<Claim | undefined> {
+  async function claimPromotion(primary: Member | undefined): Promise<Claim | undefined> {
     const stored = await store.read(group);
-    if (stored && (isHeldByOther(stored) || isReplacedAlready(stored, primary))) return undefined;
+    if (stored && (isHeldByOther(stored) || isPromotionPending(stored, primary))) return undefined;
     const token = (stored?.record.token ?? 0) + 1;
     const record: PromotionRecord = { ...stored?.record, holder: instance, token, isClaimed: true };
     const claimedAt = clock.readings();
@@ -201,68 +217,67 @@
 
   function isHeldByOther({ record, revision }: StoredRecord): boolean {
     if (!record.isClaimed) return false;
-    return seenFor(revision) < CLAIM_TAKEOVER_MILLISECONDS;
+    return getRevisionAge(revision) < CLAIM_TAKEOVER_MILLISECONDS;
   }
 
   /**
-   * Whether a promotion that was ordered lately replaces the suspect, and only has to take effect.
-   *
-   * Without this, each instance that had suspected the primary would order one after the other.
+   * Whether a recent promotion already replaces the suspected primary. Without this check, every
+   * instance that suspects the primary would order its own promotion.
    */
-  function isReplacedAlready(stored: StoredRecord, primary: Member | undefined): boolean {
+  function isPromotionPending(stored: StoredRecord, primary: Member | undefined): boolean {
     const { started } = stored.record;
     if (!started || started.primaryId === primary?.entry.memberId) return false;
-    return seenFor(stored.revision) < FOLLOW_MILLISECONDS;
+    return getRevisionAge(stored.revision) < PROMOTION_TIMEOUT_MILLISECONDS;
   }
 
-  /** How long this instance has seen the record at that revision. */
-  function seenFor(revision: number): number {
+  /** Returns how long this instance has seen the record at this revision, in milliseconds. */
+  function getRevisionAge(revision: number): number {
     if (seenRevision?.revision !== revision) seenRevision = { revision, since: clock.now() };
     return clock.now() - seenRevision.since;
   }
 
   /**
-   * Stops every replica and reads its log end.
-   *
-   * From then on no replica can confirm a write of the old primary behind the promoter's back. If
-   * one does not answer, writes that only it holds may be acknowledged, so nothing is promoted until
-   * it answers or is gone from the directory.
+   * Pauses every replica and reads its log end, so that none can confirm further writes of the old
+   * primary. Returns undefined if a listed replica does not answer: it may hold acknowledged writes
+   * that no other replica has.
    */
-  async function stopReplicas(primary: Member | undefined): Promise<StoppedReplica[] | undefined> {
+  async function pauseReplicas(primary: Member | undefined): Promise<StoppedReplica[] | undefined> {
     const replicas = [...members.values()].filter((member) => member !== primary);
     const command = { type: 'pause' as const, term: evidence.highestTerm() + 1 };
     const reports = await Promise.all(
-      replicas.map((member) => askMember(context, member, command, QUESTION_MILLISECONDS)),
+      replicas.map((member) =>
+        askMember(context, member, command, MEMBER_REQUEST_TIMEOUT_MILLISECONDS),
+      ),
     );
-    // A primary takes no order to stop. Whoever promoted it did so after this instance had looked, and
-    // promoting another now would discard what it acknowledges meanwhile.
+    // A replica that is primary by now was promoted by another instance. Promoting a second member
+    // would discard the writes that it acknowledges.
     const isReplaced = reports.some((report) => report?.isPrimary);
-    const unanswered = replicas.filter((member, index) => !reports[index] && !isGone(member));
+    const unanswered = replicas.filter((member, index) => !reports[index] && !isMissing(member));
     if (isReplaced || unanswered.length > 0 || replicas.length === 0) {
       const memberIds = unanswered.map(({ entry }) => entry.memberId);
       logger.warn('replicasNotStopped', { group, isReplaced, memberIds });
       return undefined;
     }
-    return replicas.flatMap((member, index) => toStopped(member, reports[index]?.received));
+    return replicas.flatMap((member, index) => toPausedReplicas(member, reports[index]?.received));
   }
 
-  function toStopped(member: Member, received: Position | undefined): StoppedReplica[] {
+  function toPausedReplicas(member: Member, received: Position | undefined): StoppedReplica[] {
     if (!received) return [];
-    const { memberId, isLeaving, dataCentre: place } = member.entry;
-    return [{ memberId, received, isLeaving, isPreferred: place === dataCentre }];
+    const { memberId, isLeaving, dataCentre: memberDataCentre } = member.entry;
+    return [{ memberId, received, isLeaving, isPreferred: memberDataCentre === dataCentre }];
   }
 
-  async function orderCandidate(plan: {
+  async function orderPromotion(plan: {
     cause: SuspicionCause;
     primary: Member | undefined;
     claim: Claim;
-    stopped: StoppedReplica[];
+    pausedReplicas: StoppedReplica[];
   }): Promise<void> {
-    const { cause, primary, claim, stopped } = plan;
-    const candidate = chooseCandidate(stopped);
+    const { cause, primary, claim, pausedReplicas } = plan;
+    const candidate = chooseCandidate(pausedReplicas);
     if (!candidate || !isClaimValid(claim.claimedAt, clock.readings())) {
       logger.warn('promotionGivenUp', { group, cause, token: claim.record.token });
-      await giveUp(claim, primary);
+      await abandonPromotion(claim, primary);
       return;
     }
     const { memberId, received: origin } = candidate;
@@ -272,38 +287,36 @@
       memberId,
       holder: instance,
       token,
-      timeoutMilliseconds: ORDER_MILLISECONDS,
+      timeoutMilliseconds: PROMOTION_ORDER_TIMEOUT_MILLISECONDS,
     });
     logger.info('promotionOrdered', { group, cause, memberId, origin, token, outcome });
     counters.promotions += 1;
     if (outcome !== 'accepted') {
-      await release(claim);
+      await releaseClaim(claim);
       return;
     }
     const term = evidence.highestTerm() + 1;
-    await release(claim, { term, primaryId: memberId, origin });
-    await followPromotion(memberId, { term, primary });
+    await releaseClaim(claim, { term, primaryId: memberId, origin });
+    await awaitPromotion(memberId, { term, primary });
   }
 
   /**
-   * Lets the replicas receive again after a promotion that was not ordered, and gives the duty back.
-   *
-   * Only under the claim: a replica that is resumed after another promoter has stopped it could
-   * confirm a commit that this promoter does not know of.
+   * Resumes the replicas and releases the claim. Resumes only while the claim is valid: otherwise a
+   * replica paused by another promoter could confirm a commit unknown to that promoter.
    */
-  async function giveUp(claim: Claim, primary: Member | undefined): Promise<void> {
+  async function abandonPromotion(claim: Claim, primary: Member | undefined): Promise<void> {
     const replicas = [...members.values()].filter((member) => member !== primary);
     if (isClaimValid(claim.claimedAt, clock.readings())) {
       await Promise.all(
         replicas.map((member) =>
-          askMember(context, member, { type: 'resume' }, QUESTION_MILLISECONDS),
+          askMember(context, member, { type: 'resume' }, MEMBER_REQUEST_TIMEOUT_MILLISECONDS),
         ),
       );
     }
-    await release(claim);
+    await releaseClaim(claim);
   }
 
-  async function release(claim: Claim, started?: PromotionRecord['started']): Promise<void> {
+  async function releaseClaim(claim: Claim, started?: PromotionRecord['started']): Promise<void> {
     const record = { ...claim.record, isClaimed: false, ...(started && { started }) };
     const outcome = await store.replace({ group, record, revision: claim.revision });
     if (outcome.type !== 'replaced') {
@@ -311,23 +324,33 @@
     }
   }
 
-  /** Waits until the promoted member leads, then tells the old primary, which may not know. */
-  async function followPromotion(
+  /** Waits until the promoted member is primary, then sends the old primary a demotion. */
+  async function awaitPromotion(
     memberId: string,
     { term, primary }: { term: number; primary: Member | undefined },
   ): Promise<void> {
     const startedAt = clock.now();
-    while (clock.now() - startedAt < FOLLOW_MILLISECONDS) {
-      const leader = members.get(memberId);
-      if (!leader || belief.find() === leader) break;
-      await belief.waitForChange(TAKE_OVER_MILLISECONDS);
-      if (belief.find() !== leader) {
-        await askMember(context, leader, { type: 'status' }, QUESTION_MILLISECONDS);
+    while (clock.now() - startedAt < PROMOTION_TIMEOUT_MILLISECONDS) {
+      const promotedMember = members.get(memberId);
+      if (!promotedMember || belief.find() === promotedMember) break;
+      await belief.waitForChange(TAKEOVER_WAIT_MILLISECONDS);
+      if (belief.find() !== promotedMember) {
+        await askMember(
+          context,
+          promotedMember,
+          { type: 'status' },
+          MEMBER_REQUEST_TIMEOUT_MILLISECONDS,
+        );
       }
     }
     logger.info('promotionFollowed', { group, memberId, milliseconds: clock.now() - startedAt });
     if (primary && members.has(primary.entry.memberId)) {
-      await askMember(context, primary, { type: 'demote', term }, QUESTION_MILLISECONDS);
+      await askMember(
+        context,
+        primary,
+        { type: 'demote', term },
+        MEMBER_REQUEST_TIMEOUT_MILLISECONDS,
+      );
     }
   }
 
@@ -350,8 +373,8 @@
   };
 }
 
-/** What each member that the directory lists answered. */
-type Look = { member: Member; isSuspect: boolean; report: MemberReport | undefined }[];
+/** Status reports of the listed members; undefined for a member that did not answer. */
+type MemberStatuses = { member: Member; isSuspect: boolean; report: MemberReport | undefined }[];
 
 interface Claim {
   record: PromotionRecord;
--- a/packages/gateway/src/lib/timing/withinTime.ts
+++ b/packages/gateway/src/lib/timing/withinTime.ts
@@ -1,28 +1,28 @@
 import type { Clock } from '../ports/clock';
 
-/** How a wait for a promise ended. */
-export type Settled<Value> =
+/** Result of waiting for a promise with a timeout. */
+export type TimedResult<Value> =
   { type: 'value'; value: Value } | { type: 'error'; error: Error } | { type: 'timeout' };
 
-/** An answer that is there already counts, also where no time is left. */
-const SHORTEST_WAIT_MILLISECONDS = 1;
+/** Lets a promise that is already settled win over an expired timeout. */
+const MINIMUM_TIMEOUT_MILLISECONDS = 1;
 
-/** Waits for a promise for `milliseconds` at the most; a late end of it is dropped. */
+/** Waits for a promise for at most `milliseconds`; ignores a result or error after that. */
 export function settleWithin<Value>(
   clock: Clock,
   promise: Promise<Value>,
   milliseconds: number,
-): Promise<Settled<Value>> {
+): Promise<TimedResult<Value>> {
   return new Promise((resolve) => {
-    const limit = Math.max(SHORTEST_WAIT_MILLISECONDS, milliseconds);
-    const cancelLimit = clock.after(limit, () => resolve({ type: 'timeout' }));
+    const timeout = Math.max(MINIMUM_TIMEOUT_MILLISECONDS, milliseconds);
+    const cancelTimeout = clock.after(timeout, () => resolve({ type: 'timeout' }));
     promise.then(
       (value) => {
-        cancelLimit();
+        cancelTimeout();
         resolve({ type: 'value', value });
       },
       (error: Error) => {
-        cancelLimit();
+        cancelTimeout();
         resolve({ type: 'error', error });
       },
     );
@@ -30,9 +30,9 @@
 }
 
 /**
- * The value of a promise, or undefined after `milliseconds`.
+ * Resolves to the value of a promise, or to undefined after `milliseconds`.
  *
- * @throws what the promise is rejected with in time.
+ * @throws Error with which the promise is rejected before the timeout.
  */
 export async function resolveWithin<Value>(
   clock: Clock,
