--- a/packages/gateway/src/lib/configuration/gatewayConfiguration.ts
+++ b/packages/gateway/src/lib/configuration/gatewayConfiguration.ts
@@ -3,58 +3,58 @@
 const routeSchema = z.object({
   database: z.string(),
   group: z.string(),
-  /** What reads of the database promise. */
+  /** Consistency guarantee of reads. */
   consistency: z.enum(['primary', 'boundedStaleness', 'readYourWrites']),
-  /** Age that other sessions' commits may have before a read must show them; 0 for `primary`. */
+  /** Age of other sessions' commits beyond which reads must see them; 0 for `primary`. */
   maximumStaleness: z.number(),
-  /** Limit of one statement. */
+  /** Time limit of one statement. */
   timeout: z.number(),
-  /** Time in which an operation should end, pauses of the caller left out. */
+  /** Target duration of an operation, excluding pauses of the caller. */
   goal: z.number(),
-  /** 0 goes first. */
+  /** Lower values are served first; 0 is the highest priority. */
   priority: z.number(),
 });
 
 const groupLimitsSchema = z.object({
   name: z.string(),
-  /** Connections that a member takes from all instances together. */
+  /** Maximum connections to one member, summed over all instances. */
   maximumConnections: z.number(),
 });
 
-/** A configuration as instances send it to each other. */
-const sentConfigurationSchema = z.object({
+/** Wire format of a configuration exchanged between instances. */
+const relayedConfigurationSchema = z.object({
   version: z.number(),
   routes: z.array(routeSchema),
   groups: z.array(groupLimitsSchema),
   transactionIdle: z.number(),
 });
 
-/** What reads of a database promise. @public */
+/** Consistency guarantee of reads of a database. @public */
 export type Consistency = Route['consistency'];
 
-/** Where the statements of a database name go, and on which terms. Times in milliseconds. @public */
+/** Target group and limits for statements of a database; times in milliseconds. @public */
 export type Route = z.infer<typeof routeSchema>;
 
-/** @public */
+/** Connection limits of one group. @public */
 export type GroupLimits = z.infer<typeof groupLimitsSchema>;
 
-/** One version of the configuration. @public */
+/** One version of the gateway configuration. @public */
 export interface GatewayConfiguration {
   version: number;
   routes: Map<string, Route>;
   groups: Map<string, GroupLimits>;
-  /** Milliseconds after which a transaction without a statement may be ended. */
+  /** Idle time after which an open transaction may be aborted, in milliseconds. */
   transactionIdle: number;
 }
 
-/** Writes a configuration for another instance. */
+/** Serializes a configuration for another instance. */
 export function encodeConfiguration({ routes, groups, ...rest }: GatewayConfiguration): string {
   return JSON.stringify({ ...rest, routes: [...routes.values()], groups: [...groups.values()] });
 }
 
-/** Reads a configuration of another instance. @throws ZodError, SyntaxError */
+/** Parses a configuration received from another instance. @throws ZodError, SyntaxError */
 export function decodeConfiguration(text: string): GatewayConfiguration {
-  const { routes, groups, ...rest } = sentConfigurationSchema.parse(JSON.parse(text));
+  const { routes, groups, ...rest } = relayedConfigurationSchema.parse(JSON.parse(text));
   return {
     ...rest,
     routes: new Map(routes.map((route) => [route.database, route])),
--- a/packages/gateway/src/lib/createGateway.ts
+++ b/packages/gateway/src/lib/createGateway.ts
@@ -1,7 +1,7 @@
 import type { Logger } from '@wisterialift/telemetry';
 import type { GatewayConfiguration } from './configuration/gatewayConfiguration';
-import { createConfigurationBook } from './configuration/configurationBook';
-import { createDirectoryBook } from './directory/directoryBook';
+import { createActiveConfiguration } from './configuration/activeConfiguration';
+import { createDirectoryCache } from './directory/directoryBook';
 import type { GroupAccess } from './groups/groupAccess';
 import { createGroupTask } from './groups/groupTask';
 import type { GroupTask } from './groups/groupTask';
@@ -16,23 +16,23 @@
   PromotionStore,
 } from './ports/platformPort';
 import type { UpstreamDriver } from './ports/upstreamPort';
-import { createHolderBook } from './relay/holderBook';
+import { createHolderSelector } from './relay/holderSelector';
 import { createRelayedGroup } from './relay/relayedGroup';
 import { createRelayService } from './relay/relayService';
 import { createCallerSession } from './sessions/callerSession';
 import type { AnswerSample, CallerSession } from './sessions/callerSession';
 
-/** Times of a planned stop and of the directory, in milliseconds. @public */
+/** Shutdown and directory timeouts, in milliseconds. @public */
 export interface GatewayTimes {
-  /** Time between the request to stop and the end of the process by force. */
+  /** Time between the request to stop and the forced end of the process. */
   stopGrace: number;
-  /** Time after the directory's return in which entries that lapsed meanwhile are back. */
+  /** Time after a directory outage in which lapsed entries are expected to be listed again. */
   missingGrace: number;
-  /** Time after which a member that leaves may be reached by no new statement. */
+  /** Time after which a leaving member must not receive new statements. */
   leavingBound: number;
 }
 
-/** @public */
+/** Identity, limits and platform services of one instance. @public */
 export interface GatewayOptions {
   instance: string;
   dataCentre: string;
@@ -46,22 +46,23 @@
   orders: PromotionOrders;
   registry: InstanceRegistry;
   transport: RelayTransport;
-  /** Uniform in [0, 1); spreads what instances would otherwise do at the same moment. */
+  /** Returns a uniform number in [0, 1), used for jitter. */
   random: () => number;
-  /** Mechanisms that an experiment leaves out. */
+  /** Mechanisms disabled for an experiment. */
   without?: ReadonlySet<Mechanism>;
   onAnswered: (sample: AnswerSample) => void;
 }
 
-/** What one instance does between callers and groups. @public */
+/** Routes statements of callers to the members of their groups. @public */
 export interface Gateway {
   acceptCaller: CallerAcceptor;
-  /** Whether new callers should be sent here. */
+  /** Whether the instance can accept new callers. */
   isReady: () => boolean;
   /**
-   * Ends sessions between their transactions; resolves once the last has ended.
+   * Ends each session once it has no open transaction; aborts transactions late in the stop grace.
+   * Resolves once all sessions have ended, or shortly before the grace ends.
    *
-   * @param stopAccepting - called once new callers are sent elsewhere.
+   * @param stopAccepting - called once the load balancer no longer sends new callers.
    */
   drain: (stopAccepting: () => void) => Promise<void>;
   counters: () => Record<string, GroupTask['counters']>;
@@ -69,98 +70,90 @@
   close: () => void;
 }
 
-/**
- * Time from the request to stop until idle sessions are ended. The balancer asks each second and
- * takes two refusals; before that, a session that is ended would come back to this instance.
- */
-const BALANCER_NOTICE_MILLISECONDS = 2_200;
+/** Covers two failed health checks; a session ended earlier would reconnect to this instance. */
+const LOAD_BALANCER_DELAY_MILLISECONDS = 2_200;
 
-/** Part of the grace in which an open transaction may still end by itself. */
-const TRANSACTION_SHARE = 0.55;
+/** Fraction of the grace after which open transactions are aborted. */
+const TRANSACTION_GRACE_SHARE = 0.55;
 
-/**
- * Part of the grace after which the process goes, whatever is still open. Sessions that came before
- * the listener closed may have a statement in work until then.
- */
-const LAST_SHARE = 0.95;
+/** Fraction of the grace after which draining ends, even if statements are still running. */
+const DRAIN_GRACE_SHARE = 0.95;
 
-/** How often a stop looks for sessions that can be ended, some of which have come meanwhile. */
-const DRAIN_STEP_MILLISECONDS = 50;
+const DRAIN_POLL_INTERVAL_MILLISECONDS = 50;
 
-/** Time after a statement to a member in which the directory is followed closely. */
-const DIRECTORY_NEEDED_MILLISECONDS = 30_000;
+/** Time after a statement in which directory changes are requested promptly. */
+const PROMPT_DIRECTORY_MILLISECONDS = 30_000;
 
-/**
- * Time for a fresh look at the directory before the first statement; a quarter of a second until it is
- * noticed that one is needed, and a call. Without an answer of the store it goes by what it knows.
- */
-const FRESH_WAIT_MILLISECONDS = 600;
-const FRESH_STEP_MILLISECONDS = 20;
+/** Limit of the wait for a fresh directory; after it, statements run with the cached entries. */
+const FRESH_TIMEOUT_MILLISECONDS = 600;
+const FRESH_POLL_MILLISECONDS = 20;
 
-/** How often the clocks are compared to notice a suspension. */
-const CLOCK_CHECK_MILLISECONDS = 250;
+const CLOCK_CHECK_INTERVAL_MILLISECONDS = 250;
 
-/** Difference between the clocks that a suspension or a step of the time of day makes. */
-const CLOCK_DRIFT_MILLISECONDS = 100;
+/** Change of the clock offset that indicates a suspension or a step of the time of day. */
+const CLOCK_DRIFT_THRESHOLD_MILLISECONDS = 100;
 
-/** Creates the tasks of one instance. @public */
+/** Creates the gateway of one instance and starts following its platform services. @public */
 export function createGateway(options: GatewayOptions): Gateway {
   const { clock, logger, registry, times, transport } = options;
   const groups = new Map<string, GroupTask>();
-  const accesses = new Map<string, GroupAccess>();
+  const groupAccesses = new Map<string, GroupAccess>();
   const sessions = new Set<CallerSession>();
-  const book = createConfigurationBook({ clock, onAdopted: handleAdopted });
-  const directory = createDirectoryBook(clock);
-  let neededUntil = -Infinity;
+  const configuration = createActiveConfiguration({
+    clock,
+    onAdopted: handleConfigurationChange,
+  });
+  const members = createDirectoryCache(clock);
+  let directoryNeededUntil = -Infinity;
   let isDraining = false;
-  let drift = driftOf(clock);
+  let clockOffset = getClockOffset(clock);
 
   const uses: UsesMechanism = (mechanism) => !options.without?.has(mechanism);
 
-  // Clocks are compared before each statement, so that none is placed by ages from before a suspension.
+  // Clocks are checked before each statement: after a suspension, old positions would look fresh.
   const relay = createRelayService({
-    book,
+    configuration,
     findGroup: (group) => {
-      checkClocks();
+      checkClockDrift();
       return groups.get(group);
     },
-    freshenDirectory,
+    refreshDirectory,
     clock,
     logger,
   });
-  const holders = createHolderBook({
+  const holders = createHolderSelector({
     ...options,
     uses,
-    onShared: () => transport.listen(relay.accept),
+    onHoldersAssigned: () => transport.listen(relay.accept),
   });
 
-  const stopClockChecks = clock.every(CLOCK_CHECK_MILLISECONDS, checkClocks);
+  const stopClockChecks = clock.every(CLOCK_CHECK_INTERVAL_MILLISECONDS, checkClockDrift);
   registry.follow(holders.updateInstances);
-  options.configuration.follow(book.adopt);
+  options.configuration.follow(configuration.adopt);
   options.directory.follow({
     onChange: (entries, age) => {
-      directory.adopt(entries, age);
-      for (const [group, task] of groups) task.updateMembers(directory.entriesOf(group));
+      members.update(entries, age);
+      for (const [group, task] of groups) task.updateMembers(members.getEntries(group));
     },
-    // An instance that sends nothing to members itself needs to know of none at once.
+    // An instance that sends no statements to members can use delayed directory reads.
     isPrompt: () => groups.size === 0 || isDirectoryNeeded(),
   });
 
   function isDirectoryNeeded(): boolean {
-    return clock.now() < neededUntil || [...groups.keys()].some(holders.isHolder);
+    return clock.now() < directoryNeededUntil || [...groups.keys()].some(holders.isHolder);
   }
 
   /**
-   * An instance that takes over from a holder knows the members by a list that may be ten seconds old;
-   * it would send statements to one that has been leaving for longer than it may be used.
+   * Waits for a fresh directory. A cached one may be seconds old and list a member as available
+   * after its leaving bound.
    */
-  async function freshenDirectory(): Promise<void> {
-    neededUntil = clock.now() + DIRECTORY_NEEDED_MILLISECONDS;
-    const until = clock.now() + FRESH_WAIT_MILLISECONDS;
-    while (!directory.isFresh() && clock.now() < until) await clock.pause(FRESH_STEP_MILLISECONDS);
+  async function refreshDirectory(): Promise<void> {
+    directoryNeededUntil = clock.now() + PROMPT_DIRECTORY_MILLISECONDS;
+    const until = clock.now() + FRESH_TIMEOUT_MILLISECONDS;
+    while (!members.isFresh() && clock.now() < until) await clock.pause(FRESH_POLL_MILLISECONDS);
   }
 
-  function handleAdopted(next: GatewayConfiguration, former: number | undefined): void {
+  function handleConfigurationChange(next: GatewayConfiguration, former: number | undefined): void {
     logger.info('configurationAdopted', {
       version: next.version,
       former,
@@ -181,8 +174,8 @@
       limits,
       uses,
       isHolder: () => holders.isHolder(group),
-      countSharers: () => holders.countSharers(group),
-      areInstancesKnown: holders.isKnown,
+      countSharers: () => holders.countConnectedInstances(group),
+      areInstancesKnown: holders.isReady,
       missingGrace: times.missingGrace,
       leavingBound: times.leavingBound,
     });
@@ -191,25 +184,25 @@
       group,
       local: task,
       holders,
-      book,
-      freshenDirectory,
+      configuration,
+      refreshDirectory,
       clock,
       random: options.random,
       logger,
     });
-    accesses.set(group, access);
-    if (directory.isKnown()) task.updateMembers(directory.entriesOf(group));
+    groupAccesses.set(group, access);
+    if (members.isRead()) task.updateMembers(members.getEntries(group));
   }
 
   /**
-   * Positions are remembered with the steady time at which they were seen. It stands still while the
-   * machine is suspended, so that an old position would pass for a fresh one; the time of day goes on.
+   * Discards position ages after a suspension. The monotonic clock stops during one, so old
+   * positions would look fresh; the time of day continues.
    */
-  function checkClocks(): void {
-    const present = driftOf(clock);
-    const change = Math.abs(present - drift);
-    drift = present;
-    if (change < CLOCK_DRIFT_MILLISECONDS) return;
+  function checkClockDrift(): void {
+    const currentOffset = getClockOffset(clock);
+    const change = Math.abs(currentOffset - clockOffset);
+    clockOffset = currentOffset;
+    if (change < CLOCK_DRIFT_THRESHOLD_MILLISECONDS) return;
     logger.warn('clocksDisagree', { changeMilliseconds: Math.round(change) });
     for (const task of groups.values()) task.forgetAges();
   }
@@ -219,10 +212,10 @@
       link,
       clock,
       logger,
-      book,
+      configuration,
       findGroup: (group) => {
-        checkClocks();
-        return accesses.get(group);
+        checkClockDrift();
+        return groupAccesses.get(group);
       },
       onEnd: () => sessions.delete(session),
       onAnswered: options.onAnswered,
@@ -232,7 +225,7 @@
   };
 
   function isReady(): boolean {
-    if (isDraining || !book.current() || !directory.isKnown() || !holders.isKnown()) return false;
+    if (isDraining || !configuration.get() || !members.isRead() || !holders.isReady()) return false;
     return [...groups.values()].some((task) => task.isUsable());
   }
 
@@ -240,21 +233,21 @@
     const startedAt = clock.now();
     const elapsed = () => clock.now() - startedAt;
     isDraining = true;
-    logger.info('drainStarted', { sessions: sessions.size, relayed: relay.load() });
-    relay.leave();
+    logger.info('drainStarted', { sessions: sessions.size, relayed: relay.countActiveWork() });
+    relay.announceDrain();
     let isAccepting = true;
-    const hasWork = () => isAccepting || sessions.size > 0 || relay.load() > 0;
-    while (elapsed() < times.stopGrace * LAST_SHARE && hasWork()) {
-      if (elapsed() >= BALANCER_NOTICE_MILLISECONDS) {
+    const hasWork = () => isAccepting || sessions.size > 0 || relay.countActiveWork() > 0;
+    while (elapsed() < times.stopGrace * DRAIN_GRACE_SHARE && hasWork()) {
+      if (elapsed() >= LOAD_BALANCER_DELAY_MILLISECONDS) {
         if (isAccepting) stopAccepting();
         isAccepting = false;
         for (const session of [...sessions]) session.drain();
       }
-      if (elapsed() >= times.stopGrace * TRANSACTION_SHARE) {
-        for (const session of [...sessions]) session.abandonTransaction();
-        relay.abandonTransactions();
+      if (elapsed() >= times.stopGrace * TRANSACTION_GRACE_SHARE) {
+        for (const session of [...sessions]) session.abortTransaction();
+        relay.abortTransactions();
       }
-      await clock.pause(DRAIN_STEP_MILLISECONDS);
+      await clock.pause(DRAIN_POLL_INTERVAL_MILLISECONDS);
     }
     logger.info('drainEnded', { sessions: sessions.size });
   }
@@ -274,7 +267,7 @@
   };
 }
 
-function driftOf(clock: Clock): number {
+function getClockOffset(clock: Clock): number {
   const { steady, wall } = clock.readings();
   return wall - steady;
 }
--- a/packages/gateway/src/lib/directory/directoryBook.ts
+++ b/packages/gateway/src/lib/directory/directoryBook.ts
@@ -3,71 +3,72 @@
 import type { Clock } from '../ports/clock';
 import type { DirectoryAge, DirectoryEntry } from '../ports/platformPort';
 
-/** An entry of the directory and how long it may have been so. */
+/** A directory entry and the time since which the member may have been leaving. */
 export interface KnownEntry extends DirectoryEntry {
-  /** The member has been leaving since this time or later; undefined where it stays. */
+  /** Earliest time at which the member may have begun to leave; undefined if it is not leaving. */
   leavingSince: ClockReadings | undefined;
 }
 
-/** What the instance knows of the directory. */
-export interface DirectoryBook {
-  adopt: (entries: readonly DirectoryEntry[], age: DirectoryAge) => void;
-  entriesOf: (group: string) => KnownEntry[];
-  /** Whether the directory was read at all. */
-  isKnown: () => boolean;
-  /** Whether the last look told all that was accepted before it. */
+/** Caches the entries last read from the directory. */
+export interface DirectoryCache {
+  update: (entries: readonly DirectoryEntry[], age: DirectoryAge) => void;
+  getEntries: (group: string) => KnownEntry[];
+  /** Whether the directory has been read at least once. */
+  isRead: () => boolean;
+  /** Whether the last read included every change accepted before it. */
   isFresh: () => boolean;
 }
 
-/** Time for which a member that left is remembered, in case its entry comes back. */
-const MEMORY_MILLISECONDS = 600_000;
+/** Retention of entries no longer listed, so that `leavingSince` survives a lapsed entry. */
+const ENTRY_RETENTION_MILLISECONDS = 600_000;
 
-export function createDirectoryBook(clock: Clock): DirectoryBook {
-  const known = new Map<string, { entry: KnownEntry; listedAt: number }>();
-  let listed: KnownEntry[] = [];
-  let isKnown = false;
+export function createDirectoryCache(clock: Clock): DirectoryCache {
+  const lastEntries = new Map<string, { entry: KnownEntry; listedAt: number }>();
+  let listedEntries: KnownEntry[] = [];
+  let isRead = false;
   let isFresh = false;
 
-  function learn(entry: DirectoryEntry, newSince: ClockReadings | undefined): KnownEntry {
+  function recordEntry(entry: DirectoryEntry, newSince: ClockReadings | undefined): KnownEntry {
     const { memberId } = entry;
-    const learnt = { ...entry, leavingSince: leavingSince(entry, newSince) };
-    known.set(memberId, { entry: learnt, listedAt: clock.now() });
-    return learnt;
+    const recordedEntry = { ...entry, leavingSince: getLeavingSince(entry, newSince) };
+    lastEntries.set(memberId, { entry: recordedEntry, listedAt: clock.now() });
+    return recordedEntry;
   }
 
-  /** Since when a member leaves; one that was never seen staying may have left at any time before. */
-  function leavingSince(
+  /** Falls back to `LONG_AGO`: a member first seen leaving may have begun at any earlier time. */
+  function getLeavingSince(
     entry: DirectoryEntry,
     newSince: ClockReadings | undefined,
   ): ClockReadings | undefined {
     if (!entry.isLeaving) return undefined;
-    const former = known.get(entry.memberId)?.entry;
-    const hadLeft = former && isSameLife(former, entry) ? former.leavingSince : undefined;
-    return hadLeft ?? newSince ?? LONG_AGO;
+    const previousEntry = lastEntries.get(entry.memberId)?.entry;
+    const previousLeavingSince =
+      previousEntry && isSameLife(previousEntry, entry) ? previousEntry.leavingSince : undefined;
+    return previousLeavingSince ?? newSince ?? LONG_AGO;
   }
 
-  function forgetLongGone(): void {
-    for (const [memberId, { listedAt }] of known) {
-      if (clock.now() - listedAt > MEMORY_MILLISECONDS) known.delete(memberId);
+  function evictExpiredEntries(): void {
+    for (const [memberId, { listedAt }] of lastEntries) {
+      if (clock.now() - listedAt > ENTRY_RETENTION_MILLISECONDS) lastEntries.delete(memberId);
     }
   }
 
   return {
-    adopt: (entries, age) => {
-      listed = entries.map((entry) => learn(entry, age.newSince));
-      forgetLongGone();
-      isKnown = true;
+    update: (entries, age) => {
+      listedEntries = entries.map((entry) => recordEntry(entry, age.newSince));
+      evictExpiredEntries();
+      isRead = true;
       isFresh = age.isFresh;
     },
-    entriesOf: (group) => listed.filter((entry) => entry.group === group),
-    isKnown: () => isKnown,
+    getEntries: (group) => listedEntries.filter((entry) => entry.group === group),
+    isRead: () => isRead,
     isFresh: () => isFresh,
   };
 }
 
-/** An entry without a time of start is of the life that is known. */
+/** Whether both entries describe the same process; an unknown start time matches any. */
 export function isSameLife(known: DirectoryEntry, entry: DirectoryEntry): boolean {
-  const isUntold = known.startedAt === undefined || entry.startedAt === undefined;
-  const isSameStart = isUntold || known.startedAt === entry.startedAt;
+  const isStartUnknown = known.startedAt === undefined || entry.startedAt === undefined;
+  const isSameStart = isStartUnknown || known.startedAt === entry.startedAt;
   return isSameStart && known.address === entry.address;
 }
--- a/packages/gateway/src/lib/relay/holderBook.ts
+++ b/packages/gateway/src/lib/relay/holderSelector.ts
@@ -7,22 +7,22 @@
 import { createPeerLink } from './peerLink';
 import type { PeerLink } from './peerLink';
 
-/** Knows who holds the connections to the members of each group, and has the streams to them. */
-export interface HolderBook {
-  /** The stream to the instance that should run a statement; undefined where this one should. */
-  choose: (group: string) => PeerLink | undefined;
-  /** Whether this instance is one of those that keep connections to the group's members. */
+/** Selects the instances that hold connections to a group's members and links to them. */
+export interface HolderSelector {
+  /** Returns the link to the instance for a statement; undefined means this instance. */
+  selectLink: (group: string) => PeerLink | undefined;
+  /** Whether this instance holds connections to the group's members. */
   isHolder: (group: string) => boolean;
-  /** Instances that keep connections to the group's members, as far as the list tells. */
-  countSharers: (group: string) => number;
-  /** Whether the list of instances is known. */
-  isKnown: () => boolean;
+  /** Number of instances that may connect to the group's members; Infinity if unknown. */
+  countConnectedInstances: (group: string) => number;
+  /** Whether the list of instances has been received. */
+  isReady: () => boolean;
   updateInstances: (instances: InstanceEntry[]) => void;
   updateLimits: (group: string, maximumConnections: number) => void;
   close: () => void;
 }
 
-export interface HolderBookOptions {
+export interface HolderSelectorOptions {
   instance: string;
   dataCentre: string;
   clock: Clock;
@@ -30,34 +30,35 @@
   transport: RelayTransport;
   registry: InstanceRegistry;
   uses: UsesMechanism;
-  /** Some group is shared, so that statements of other instances may come. */
-  onShared: () => void;
+  /** Called when a group is assigned to holders, so that relayed statements may arrive. */
+  onHoldersAssigned: () => void;
 }
 
-/** First pause after a lost stream; doubles up to the second, about the time of a restart. */
-const FIRST_PAUSE_MILLISECONDS = 300;
-const LONGEST_PAUSE_MILLISECONDS = 3_000;
+/** The reconnect delay doubles with each failure up to the maximum, about the time of a restart. */
+const INITIAL_RECONNECT_DELAY_MILLISECONDS = 300;
+const MAXIMUM_RECONNECT_DELAY_MILLISECONDS = 3_000;
 
-/** Time without a stream after which an instance is reported as gone: several restarts long. */
-const GONE_MILLISECONDS = 60_000;
+/** Time without a stream after which an instance is reported as unreachable: several restarts. */
+const UNREACHABLE_THRESHOLD_MILLISECONDS = 60_000;
 
 interface Peer {
   entry: InstanceEntry;
   link: PeerLink | undefined;
   failures: number;
-  avoidUntil: number;
-  /** When the first of the failures in a row was. */
+  reconnectAt: number;
+  /** Time of the first of the consecutive failures. */
   failingSince: number | undefined;
 }
 
-export function createHolderBook(options: HolderBookOptions): HolderBook {
-  const { instance, dataCentre, clock, logger, transport, registry, uses, onShared } = options;
+export function createHolderSelector(options: HolderSelectorOptions): HolderSelector {
+  const { instance, dataCentre, clock, logger, transport, registry, uses, onHoldersAssigned } =
+    options;
   const peers = new Map<string, Peer>();
   const limits = new Map<string, number>();
   const plans = new Map<string, HolderPlan>();
   let instances: InstanceEntry[] | undefined;
 
-  function planOf(group: string): HolderPlan {
+  function getPlan(group: string): HolderPlan {
     const known = plans.get(group);
     if (known) return known;
     const maximumConnections = limits.get(group);
@@ -69,33 +70,35 @@
     return plan;
   }
 
-  function replan(): void {
+  function updatePlans(): void {
     plans.clear();
-    if ([...limits.keys()].some((group) => planOf(group).type === 'holders')) onShared();
+    if ([...limits.keys()].some((group) => getPlan(group).type === 'holders')) onHoldersAssigned();
   }
 
-  /** One that was lost is tried again without a statement waiting for it. */
+  /** Reconnects to a lost instance in the background, so that no statement waits for it. */
   const isReachable = (name: string) => {
     if (name === instance) return true;
     const peer = peers.get(name);
-    if (!peer || peer.avoidUntil > clock.now()) return false;
+    if (!peer || peer.reconnectAt > clock.now()) return false;
     if (peer.failures === 0) return peer.link?.isUsable() ?? true;
     return openLink(peer).isOpen();
   };
 
-  /** The first of the order that can be reached; the ones after them take the place of the others. */
-  function holdersOf(plan: HolderPlan & { type: 'holders' }): string[] {
+  /** Selects the first reachable holders in plan order, skipping unreachable ones. */
+  function selectHolders(plan: HolderPlan & { type: 'holders' }): string[] {
     const near = plan.near.filter(isReachable).slice(0, plan.nearCount);
     return near.length > 0 ? near : plan.far.filter(isReachable);
   }
 
-  function choose(group: string): PeerLink | undefined {
-    const plan = planOf(group);
+  function selectLink(group: string): PeerLink | undefined {
+    const plan = getPlan(group);
     if (plan.type === 'everyone') return undefined;
-    const holders = holdersOf(plan);
+    const holders = selectHolders(plan);
     if (holders.includes(instance)) return undefined;
     const links = holders.map((name) => openLink(peers.get(name)!));
-    return links.sort((left, right) => left.load() - right.load())[0];
+    return links.sort(
+      (left, right) => left.countPendingRequests() - right.countPendingRequests(),
+    )[0];
   }
 
   function openLink(peer: Peer): PeerLink {
@@ -116,15 +119,15 @@
     if (peers.get(name) !== peer) return;
     const now = clock.now();
     const failingSince = peer.failingSince ?? now;
-    const pauseTime = FIRST_PAUSE_MILLISECONDS * 2 ** peer.failures;
+    const reconnectDelay = INITIAL_RECONNECT_DELAY_MILLISECONDS * 2 ** peer.failures;
     logger.warn('instanceLost', { peer: name, address, failures: peer.failures, error });
     Object.assign(peer, {
       link: undefined,
       failures: Math.min(peer.failures + 1, 8),
       failingSince,
-      avoidUntil: now + Math.min(LONGEST_PAUSE_MILLISECONDS, pauseTime),
+      reconnectAt: now + Math.min(MAXIMUM_RECONNECT_DELAY_MILLISECONDS, reconnectDelay),
     });
-    if (now - failingSince > GONE_MILLISECONDS) registry.reportGone(name);
+    if (now - failingSince > UNREACHABLE_THRESHOLD_MILLISECONDS) registry.reportGone(name);
   }
 
   function updateInstances(next: InstanceEntry[]): void {
@@ -141,27 +144,27 @@
       if (known) known.entry = entry;
       else peers.set(name, createPeer(entry));
     }
-    replan();
+    updatePlans();
   }
 
   return {
-    choose,
+    selectLink,
     isHolder: (group) => {
-      const plan = planOf(group);
-      return plan.type === 'everyone' || holdersOf(plan).includes(instance);
+      const plan = getPlan(group);
+      return plan.type === 'everyone' || selectHolders(plan).includes(instance);
     },
-    countSharers: (group) => {
-      // Unknown, the list may be long: one connection is a fair share then.
+    countConnectedInstances: (group) => {
+      // An unknown number of instances leaves a fair share of one connection.
       if (!instances) return Infinity;
-      const plan = planOf(group);
+      const plan = getPlan(group);
       return plan.type === 'everyone' ? instances.length : plan.nearCount + plan.far.length;
     },
-    isKnown: () => instances !== undefined,
+    isReady: () => instances !== undefined,
     updateInstances,
     updateLimits: (group, maximumConnections) => {
       if (limits.get(group) === maximumConnections) return;
       limits.set(group, maximumConnections);
-      replan();
+      updatePlans();
     },
     close: () => {
       for (const { link } of peers.values()) link?.close();
@@ -170,5 +173,5 @@
 }
 
 function createPeer(entry: InstanceEntry): Peer {
-  return { entry, link: undefined, failures: 0, avoidUntil: -Infinity, failingSince: undefined };
+  return { entry, link: undefined, failures: 0, reconnectAt: -Infinity, failingSince: undefined };
 }
--- a/packages/gateway/src/lib/relay/peerLink.ts
+++ b/packages/gateway/src/lib/relay/peerLink.ts
@@ -2,29 +2,28 @@
 import type { CancelTimer, Clock } from '../ports/clock';
 import type { RelayTransport } from '../ports/instancePort';
 
-/** What a request holds; the rest is empty, and so is a question whether the other one lives. */
-export type RelayContent = Partial<Omit<RelayRequest, 'number'>>;
+/** Fields set in a request; a liveness probe sets none. */
+export type RelayRequestFields = Partial<Omit<RelayRequest, 'number'>>;
 
-/** How a request to another instance ended. */
+/** Outcome of a request to another instance. */
 export type RelayOutcome =
   | { type: 'answered'; response: RelayResponse }
-  /** It did not leave this instance. */
+  /** The stream was lost before the request was sent. */
   | { type: 'notSent' }
-  /** It was sent, and the stream ended without an answer. */
+  /** The request was sent, but no answer arrived before the stream was lost or `answerBy`. */
   | { type: 'lost' };
 
-/** A stream to another instance and the requests in work there. */
+/** A relay stream to another instance, with its pending requests. */
 export interface PeerLink {
-  /** @param answerBy - steady time after which the answer is not waited for. */
-  ask: (content: RelayContent, answerBy: number) => Promise<RelayOutcome>;
-  /** Number for a transaction that is to begin there. */
-  nextTransaction: () => number;
+  /** @param answerBy - deadline of the answer, in monotonic milliseconds. */
+  request: (content: RelayRequestFields, answerBy: number) => Promise<RelayOutcome>;
+  /** Returns a transaction number that is unique on this stream. */
+  allocateTransactionNumber: () => number;
   rollBack: (transaction: number) => void;
-  /** Whether statements may be placed there; also while it is being opened. */
+  /** Whether new statements may be sent; also true while the stream is opening. */
   isUsable: () => boolean;
   isOpen: () => boolean;
-  /** Requests in work there. */
-  load: () => number;
+  countPendingRequests: () => number;
   close: () => void;
 }
 
@@ -36,106 +35,103 @@
   onLost: (error: Error) => void;
 }
 
-/** Time for opening a stream: a connection with a lost packet takes a second, and others are nearer. */
-const OPEN_MILLISECONDS = 500;
+/** Shorter than the 1 s retransmission after packet loss; other instances answer sooner. */
+const OPEN_TIMEOUT_MILLISECONDS = 500;
 
-/** How often a link with statements in work looks whether the other instance lives. */
-const CHECK_MILLISECONDS = 100;
+const LIVENESS_CHECK_INTERVAL_MILLISECONDS = 100;
 
-/** Silence after which it is asked. Most answers take less, so links with traffic ask nothing. */
-const SILENCE_MILLISECONDS = 200;
+/** Time without a response before a probe is sent; longer than most answers take. */
+const PROBE_THRESHOLD_MILLISECONDS = 200;
 
-/**
- * Time for the answer to that question. An instance with a small share of a processor stands still for
- * 100 ms at a time and answers after it; a round trip between far data centres takes 50 ms.
- */
-const ALIVE_MILLISECONDS = 450;
+/** Allows for 100 ms scheduler pauses of the remote instance and a 50 ms round trip. */
+const PROBE_TIMEOUT_MILLISECONDS = 450;
 
-/** A check that comes this late shows that this instance stood still, and not the other one. */
-const STALL_MILLISECONDS = 150;
+/** Delay of a check that indicates a stall of this process instead of the remote instance. */
+const LOCAL_STALL_THRESHOLD_MILLISECONDS = 150;
 
-type State = 'opening' | 'open' | 'leaving' | 'lost';
+type LinkState = 'opening' | 'open' | 'leaving' | 'lost';
 
-interface Pending {
+interface PendingRequest {
   settle: (outcome: RelayOutcome) => void;
 }
 
 /** Opens a stream to another instance. */
 export function createPeerLink(options: PeerLinkOptions): PeerLink {
   const { transport, address, clock, onOpen, onLost } = options;
-  const pending = new Map<number, Pending>();
-  const openers: (() => void)[] = [];
-  let state: State = 'opening';
-  let numbers = 0;
-  let transactions = 0;
-  let heardAt = clock.now();
-  let askedAt: number | undefined;
-  let checkedAt = clock.now();
-  let stopChecks: CancelTimer | undefined;
+  const pendingRequests = new Map<number, PendingRequest>();
+  const openWaiters: (() => void)[] = [];
+  let state: LinkState = 'opening';
+  let lastRequestNumber = 0;
+  let lastTransactionNumber = 0;
+  let lastReceivedAt = clock.now();
+  let probeSentAt: number | undefined;
+  let lastCheckAt = clock.now();
+  let stopLivenessChecks: CancelTimer | undefined;
 
   const stream: RelayStream = transport.open(address, {
-    onResponse: receive,
-    onLost: lose,
+    onResponse: handleResponse,
+    onLost: handleLoss,
   });
-  const cancelOpening = clock.after(OPEN_MILLISECONDS, () => {
-    lose(new Error(`${address} did not open a stream in time`));
+  const cancelOpening = clock.after(OPEN_TIMEOUT_MILLISECONDS, () => {
+    handleLoss(new Error(`instance at ${address} did not open a stream in time`));
   });
 
-  function receive(response: RelayResponse): void {
+  function handleResponse(response: RelayResponse): void {
     const { number, isLeaving } = response;
-    heardAt = clock.now();
-    askedAt = undefined;
+    lastReceivedAt = clock.now();
+    probeSentAt = undefined;
     if (state === 'opening') {
       finishOpening('open');
       onOpen();
     }
     if (isLeaving) state = 'leaving';
-    if (number > 0) settle(number, { type: 'answered', response });
+    if (number > 0) settleRequest(number, { type: 'answered', response });
   }
 
-  function finishOpening(next: State): void {
+  function finishOpening(next: LinkState): void {
     cancelOpening();
     state = next;
-    for (const resume of openers.splice(0)) resume();
+    for (const resume of openWaiters.splice(0)) resume();
   }
 
-  function settle(number: number, outcome: RelayOutcome): void {
-    const waiting = pending.get(number);
-    pending.delete(number);
-    waiting?.settle(outcome);
-    if (pending.size === 0) stopChecks?.();
+  function settleRequest(number: number, outcome: RelayOutcome): void {
+    const pendingRequest = pendingRequests.get(number);
+    pendingRequests.delete(number);
+    pendingRequest?.settle(outcome);
+    if (pendingRequests.size === 0) stopLivenessChecks?.();
   }
 
-  function lose(error: Error): void {
+  function handleLoss(error: Error): void {
     if (state === 'lost') return;
     finishOpening('lost');
-    stopChecks?.();
-    for (const number of [...pending.keys()]) settle(number, { type: 'lost' });
+    stopLivenessChecks?.();
+    for (const number of [...pendingRequests.keys()]) settleRequest(number, { type: 'lost' });
     stream.close();
     onLost(error);
   }
 
   /**
-   * A stream to an instance that lost power or was cut off just goes silent, and so does one whose
-   * connection died; every statement there would wait for its time limit.
+   * Detects a stream that failed without an error, as after a power loss or a network partition.
+   * Otherwise, every statement on the stream would wait for its time limit.
    */
-  function check(): void {
+  function checkLiveness(): void {
     const now = clock.now();
-    const hasStalled = now - checkedAt > CHECK_MILLISECONDS + STALL_MILLISECONDS;
-    checkedAt = now;
+    const hasStalled =
+      now - lastCheckAt > LIVENESS_CHECK_INTERVAL_MILLISECONDS + LOCAL_STALL_THRESHOLD_MILLISECONDS;
+    lastCheckAt = now;
     if (hasStalled) {
-      askedAt = undefined;
-      heardAt = now;
-    } else if (askedAt !== undefined && now - askedAt > ALIVE_MILLISECONDS) {
-      lose(new Error(`${address} has gone silent`));
-    } else if (askedAt === undefined && now - heardAt > SILENCE_MILLISECONDS) {
-      askedAt = now;
-      numbers += 1;
-      send(numbers, {});
+      probeSentAt = undefined;
+      lastReceivedAt = now;
+    } else if (probeSentAt !== undefined && now - probeSentAt > PROBE_TIMEOUT_MILLISECONDS) {
+      handleLoss(new Error(`liveness probe timed out: ${address} has gone silent`));
+    } else if (probeSentAt === undefined && now - lastReceivedAt > PROBE_THRESHOLD_MILLISECONDS) {
+      probeSentAt = now;
+      lastRequestNumber += 1;
+      send(lastRequestNumber, {});
     }
   }
 
-  function send(number: number, content: RelayContent): void {
+  function send(number: number, content: RelayRequestFields): void {
     stream.send({
       number,
       statement: undefined,
@@ -149,44 +145,44 @@
   function waitUntilOpen(): Promise<void> {
     if (state !== 'opening') return Promise.resolve();
     return new Promise((resolve) => {
-      openers.push(resolve);
+      openWaiters.push(resolve);
     });
   }
 
-  function startChecks(): void {
-    if (pending.size > 1) return;
-    heardAt = clock.now();
-    checkedAt = heardAt;
-    askedAt = undefined;
-    stopChecks?.();
-    stopChecks = clock.every(CHECK_MILLISECONDS, check);
+  function startLivenessChecks(): void {
+    if (pendingRequests.size > 1) return;
+    lastReceivedAt = clock.now();
+    lastCheckAt = lastReceivedAt;
+    probeSentAt = undefined;
+    stopLivenessChecks?.();
+    stopLivenessChecks = clock.every(LIVENESS_CHECK_INTERVAL_MILLISECONDS, checkLiveness);
   }
 
-  async function ask(content: RelayContent, answerBy: number): Promise<RelayOutcome> {
+  async function request(content: RelayRequestFields, answerBy: number): Promise<RelayOutcome> {
     await waitUntilOpen();
     if (state === 'lost') return { type: 'notSent' };
-    numbers += 1;
-    const number = numbers;
+    lastRequestNumber += 1;
+    const number = lastRequestNumber;
     return new Promise((resolve) => {
       const cancelLimit = clock.after(answerBy - clock.now(), () => {
-        settle(number, { type: 'lost' });
+        settleRequest(number, { type: 'lost' });
       });
-      pending.set(number, {
+      pendingRequests.set(number, {
         settle: (outcome) => {
           cancelLimit();
           resolve(outcome);
         },
       });
-      startChecks();
+      startLivenessChecks();
       send(number, content);
     });
   }
 
   return {
-    ask,
-    nextTransaction: () => {
-      transactions += 1;
-      return transactions;
+    request,
+    allocateTransactionNumber: () => {
+      lastTransactionNumber += 1;
+      return lastTransactionNumber;
     },
     rollBack: (transaction) => {
       if (state === 'lost') return;
@@ -194,9 +190,9 @@
     },
     isOpen: () => state === 'open',
     isUsable: () => state === 'opening' || state === 'open',
-    load: () => pending.size,
+    countPendingRequests: () => pendingRequests.size,
     close: () => {
-      if (state !== 'lost') lose(new Error('the instance closes the stream'));
+      if (state !== 'lost') handleLoss(new Error('relay stream closed by this instance'));
     },
   };
 }
--- a/packages/gateway/src/lib/relay/relayMessages.ts
+++ b/packages/gateway/src/lib/relay/relayMessages.ts
@@ -13,12 +13,12 @@
 import type { GroupSession, StatementRequest } from '../groups/statementRequest';
 import { RelayMessageError } from '../errors/relayMessageError';
 
-/** What a relayed statement is part of; `run` and `commit` belong to a transaction. */
+/** Operation of a relayed statement; `run` and `commit` belong to a transaction. */
 export type RelayAction = 'read' | 'write' | 'run' | 'commit';
 
 const ACTIONS: ReadonlySet<string> = new Set<RelayAction>(['read', 'write', 'run', 'commit']);
 
-const CONSISTENCIES: ReadonlySet<string> = new Set<Consistency>([
+const LEVELS: ReadonlySet<string> = new Set<Consistency>([
   'primary',
   'boundedStaleness',
   'readYourWrites',
@@ -30,14 +30,14 @@
   'failed',
 ]);
 
-/** Which transaction of the sender a statement belongs to. */
+/** Transaction of a relayed statement; its number is unique per stream. */
 export interface RelayedTransaction {
   number: number;
   isFirst: boolean;
   isReadOnly: boolean;
 }
 
-/** @param now - steady time, in milliseconds. */
+/** @param options.now - monotonic time, in milliseconds. */
 export function encodeStatement(
   request: StatementRequest,
   options: { action: RelayAction; transaction?: RelayedTransaction; now: number },
@@ -61,12 +61,12 @@
 
 /** @throws RelayMessageError */
 export function decodeAction({ action }: RelayStatement): RelayAction {
-  if (!ACTIONS.has(action)) throw new RelayMessageError(`no action: ${action}`);
+  if (!ACTIONS.has(action)) throw new RelayMessageError(`unknown relay action: ${action}`);
   return action as RelayAction;
 }
 
 /**
- * Makes a request of this instance from a statement that another one sent.
+ * Converts a relayed statement into a request of this instance.
  *
  * @throws RelayMessageError
  */
@@ -115,9 +115,9 @@
 
 /** @throws RelayMessageError */
 export function decodeRoute({ route: sent }: RelayStatement): { route: Route; version: number } {
-  if (!sent) throw new RelayMessageError('a statement without a route');
+  if (!sent) throw new RelayMessageError('relayed statement has no route');
   const { database, version, group, consistency, priority } = sent;
-  if (!CONSISTENCIES.has(consistency)) throw new RelayMessageError(`no kind: ${consistency}`);
+  if (!LEVELS.has(consistency)) throw new RelayMessageError(`unknown consistency: ${consistency}`);
   const route: Route = {
     database,
     group,
@@ -152,7 +152,7 @@
 export function decodeAnswer(sent: RelayAnswer): UpstreamAnswer {
   const { transactionState, rows, signature, reason, detail } = sent;
   if (!TRANSACTION_STATES.has(transactionState)) {
-    throw new RelayMessageError(`no state of a transaction: ${transactionState}`);
+    throw new RelayMessageError(`unknown transaction state: ${transactionState}`);
   }
   const transaction = transactionState as TransactionState;
   const position = decodePosition(sent.position);
--- a/packages/gateway/src/lib/relay/relayService.ts
+++ b/packages/gateway/src/lib/relay/relayService.ts
@@ -6,8 +6,8 @@
 } from '@wisterialift/peer/relay';
 import type { UpstreamAnswer } from '@wisterialift/pooling';
 import type { Logger } from '@wisterialift/telemetry';
-import { CATCH_UP_MILLISECONDS } from '../configuration/configurationBook';
-import type { ConfigurationBook } from '../configuration/configurationBook';
+import { CONFIGURATION_WAIT_MILLISECONDS } from '../configuration/activeConfiguration';
+import type { ActiveConfiguration } from '../configuration/activeConfiguration';
 import { decodeConfiguration, encodeConfiguration } from '../configuration/gatewayConfiguration';
 import { RelayMessageError } from '../errors/relayMessageError';
 import type { GroupAccess, Transaction } from '../groups/groupAccess';
@@ -16,40 +16,40 @@
 import { decodeAction, decodeRoute, decodeStatement, encodeAnswer } from './relayMessages';
 import type { RelayAction } from './relayMessages';
 
-/** Runs statements of other instances' callers over this instance's connections. */
+/** Runs statements relayed by other instances over this instance's connections. */
 export interface RelayService {
   accept: RelayAcceptor;
-  /** Asks the other instances to place new statements elsewhere. */
-  leave: () => void;
-  /** Rolls back the transactions that are still open, for a process that has to stop. */
-  abandonTransactions: () => void;
-  /** Statements in work and transactions that are open. */
-  load: () => number;
+  /** Notifies the other instances that they must send new statements elsewhere. */
+  announceDrain: () => void;
+  /** Rolls back all open transactions, for a shutdown. */
+  abortTransactions: () => void;
+  /** Returns the number of running statements plus open transactions. */
+  countActiveWork: () => number;
 }
 
 export interface RelayServiceOptions {
-  book: ConfigurationBook;
-  /** The connections of this instance to a group. */
+  configuration: ActiveConfiguration;
+  /** Returns the access to a group over this instance's own connections. */
   findGroup: (group: string) => GroupAccess | undefined;
-  /** Resolves once the members are known as they are now, as far as the store tells. */
-  freshenDirectory: () => Promise<void>;
+  /** Resolves once the directory is fresh, or after a timeout without a store answer. */
+  refreshDirectory: () => Promise<void>;
   clock: Clock;
   logger: Logger;
 }
 
 type Respond = (response: RelayResponse) => void;
 
-/** A transaction that another instance began here. */
-interface RelayedTransaction {
-  /** Undefined until a member has begun it. */
+/** A transaction relayed from another instance. */
+interface TransactionEntry {
+  /** Undefined until it has begun at a member. */
   transaction: Transaction | undefined;
   isEnded: boolean;
 }
 
-/** The transactions of one stream by the numbers that its sender gave. */
-type StreamTransactions = Map<number, RelayedTransaction>;
+/** Transactions of one stream by the number that its sender assigned. */
+type StreamTransactions = Map<number, TransactionEntry>;
 
-/** Runs one statement; `transactions` are those of the stream that it came over. */
+/** Runs one statement; `transactions` are those of its stream. */
 type Handler = (options: {
   statement: RelayStatement;
   request: StatementRequest;
@@ -58,9 +58,9 @@
 }) => Promise<UpstreamAnswer>;
 
 export function createRelayService(options: RelayServiceOptions): RelayService {
-  const { book, findGroup, freshenDirectory, clock, logger } = options;
+  const { configuration, findGroup, refreshDirectory, clock, logger } = options;
   const streams = new Map<Respond, StreamTransactions>();
-  let running = 0;
+  let runningStatements = 0;
   let isLeaving = false;
 
   const handlers: Record<RelayAction, Handler> = {
@@ -70,7 +70,7 @@
       const found = await findTransaction(step);
       if ('refusal' in found) return found.refusal;
       const answer = await found.transaction.run(step.request);
-      if (answer.transaction !== 'open') end(step.transactions, step.statement.transaction);
+      if (answer.transaction !== 'open') rollBack(step.transactions, step.statement.transaction);
       return answer;
     },
     commit: async (step) => {
@@ -80,18 +80,15 @@
     },
   };
 
-  /**
-   * Notes a transaction as its first statement arrives, before anything is waited for: its caller may
-   * leave at once, and the roll-back that follows would find nothing to end.
-   */
-  function noteFirst(
+  /** Must run before any wait, so that a rollback that arrives meanwhile finds the transaction. */
+  function registerTransaction(
     { isFirst, transaction: number }: RelayStatement,
     transactions: StreamTransactions,
   ): void {
     if (isFirst) transactions.set(number, { transaction: undefined, isEnded: false });
   }
 
-  /** Finds the transaction of a statement, or begins it with the first one. */
+  /** Returns the transaction of a statement; begins it on the first statement. */
   async function findTransaction({
     statement,
     request,
@@ -99,63 +96,62 @@
     transactions,
   }: Parameters<Handler>[0]): Promise<{ transaction: Transaction } | { refusal: UpstreamAnswer }> {
     const { transaction: number, isReadOnly } = statement;
-    const relayed = transactions.get(number);
-    if (!relayed) return { refusal: refuseEnded() };
-    if (relayed.transaction) return { transaction: relayed.transaction };
+    const entry = transactions.get(number);
+    if (!entry) return { refusal: createEndedRefusal() };
+    if (entry.transaction) return { transaction: entry.transaction };
     const opened = await task.openTransaction(request, { isReadOnly, began: request.arrived });
     if ('refusal' in opened) {
       transactions.delete(number);
       return opened;
     }
-    relayed.transaction = opened.transaction;
-    // The sender may have rolled back, or be gone, while the member began it.
-    if (relayed.isEnded) opened.transaction.rollBack();
+    entry.transaction = opened.transaction;
+    // The sender may have rolled back or disconnected in the meantime.
+    if (entry.isEnded) opened.transaction.rollBack();
     return opened;
   }
 
-  function end(transactions: StreamTransactions, number: number): void {
-    const relayed = transactions.get(number);
-    if (!relayed) return;
-    relayed.isEnded = true;
-    relayed.transaction?.rollBack();
+  function rollBack(transactions: StreamTransactions, number: number): void {
+    const entry = transactions.get(number);
+    if (!entry) return;
+    entry.isEnded = true;
+    entry.transaction?.rollBack();
     transactions.delete(number);
   }
 
-  function endAll(transactions: StreamTransactions): void {
-    for (const number of [...transactions.keys()]) end(transactions, number);
+  function rollBackAll(transactions: StreamTransactions): void {
+    for (const number of [...transactions.keys()]) rollBack(transactions, number);
   }
 
-  /** @returns undefined where the sender has another version of the configuration. */
-  async function handle(
+  /** @returns undefined if the sender has a different configuration version. */
+  async function handleStatement(
     statement: RelayStatement,
     transactions: StreamTransactions,
   ): Promise<RelayResponse['answer']> {
     const action = decodeAction(statement);
     const { route, version } = decodeRoute(statement);
-    // A transaction goes on by the version that it began with.
+    // A transaction keeps the configuration version with which it began.
     const hasBegun = transactions.has(statement.transaction);
-    noteFirst(statement, transactions);
-    if (!hasBegun) await book.waitFor(version, CATCH_UP_MILLISECONDS);
-    if (!hasBegun && book.version() !== version) {
+    registerTransaction(statement, transactions);
+    if (!hasBegun) await configuration.waitForVersion(version, CONFIGURATION_WAIT_MILLISECONDS);
+    if (!hasBegun && configuration.getVersion() !== version) {
       transactions.delete(statement.transaction);
       return undefined;
     }
-    await freshenDirectory();
+    await refreshDirectory();
     const task = findGroup(route.group);
-    if (!task) throw new RelayMessageError(`no group: ${route.group}`);
+    if (!task) throw new RelayMessageError(`unknown group: ${route.group}`);
     const request = decodeStatement(statement, { arrived: task.markArrival() });
     const answer = await handlers[action]({ statement, request, task, transactions });
     return encodeAnswer(answer, { lastCommit: request.session.lastCommit, now: clock.now() });
   }
 
-  /** What it had done was rolled back when it ended. */
-  function refuseEnded(): UpstreamAnswer {
+  function createEndedRefusal(): UpstreamAnswer {
     const detail = 'the transaction has ended';
     return { outcome: 'refused', reason: 'aborted', detail, transaction: 'failed' };
   }
 
-  /** A message that cannot be understood did not run; of another failure nothing is known. */
-  function answerFailure(
+  /** A malformed message did not run; after any other failure the outcome is unknown. */
+  function createFailureAnswer(
     { id, lastCommit }: RelayStatement,
     error: Error,
   ): RelayResponse['answer'] {
@@ -163,32 +159,36 @@
     const reason = error instanceof RelayMessageError ? 'busy' : 'unknownOutcome';
     const detail = 'the instance that should run the statement failed';
     const refusal = { outcome: 'refused', reason, detail, transaction: 'failed' } as const;
-    // The sender takes the commit from the answer; without it the session would read an older log.
+    // The sender adopts this commit position; without it, the session could miss its own writes.
     return { ...encodeAnswer(refusal, { lastCommit: undefined, now: clock.now() }), lastCommit };
   }
 
-  async function respondTo(
+  async function handleRequest(
     { number, statement, ...rest }: RelayRequest,
     { respond, transactions }: { respond: Respond; transactions: StreamTransactions },
   ): Promise<void> {
     const { rolledBackTransaction, wantsConfiguration, configurationJson } = rest;
     if (rolledBackTransaction > 0) {
-      end(transactions, rolledBackTransaction);
+      rollBack(transactions, rolledBackTransaction);
     } else if (statement) {
-      running += 1;
-      const answer = await handle(statement, transactions)
+      runningStatements += 1;
+      const answer = await handleStatement(statement, transactions)
         .catch((error: Error) => {
-          end(transactions, statement.transaction);
-          return answerFailure(statement, error);
+          rollBack(transactions, statement.transaction);
+          return createFailureAnswer(statement, error);
         })
         .finally(() => {
-          running -= 1;
+          runningStatements -= 1;
         });
       respond(createResponse(number, { answer }));
     } else {
-      if (configurationJson !== '') book.adopt(decodeConfiguration(configurationJson));
-      const own = wantsConfiguration ? book.current() : undefined;
-      respond(createResponse(number, { configurationJson: own ? encodeConfiguration(own) : '' }));
+      if (configurationJson !== '') configuration.adopt(decodeConfiguration(configurationJson));
+      const current = wantsConfiguration ? configuration.get() : undefined;
+      respond(
+        createResponse(number, {
+          configurationJson: current ? encodeConfiguration(current) : '',
+        }),
+      );
     }
   }
 
@@ -196,7 +196,7 @@
     number: number,
     content: Partial<Pick<RelayResponse, 'answer' | 'configurationJson'>> = {},
   ): RelayResponse {
-    const version = Math.max(0, book.version());
+    const version = Math.max(0, configuration.getVersion());
     return { number, isLeaving, version, answer: undefined, configurationJson: '', ...content };
   }
 
@@ -206,30 +206,30 @@
     respond(createResponse(0));
     return {
       onRequest: (request) => {
-        respondTo(request, { respond, transactions }).catch((error: Error) => {
+        handleRequest(request, { respond, transactions }).catch((error: Error) => {
           logger.error('relayRequestFailed', { number: request.number, error });
         });
       },
       onEnd: () => {
         streams.delete(respond);
-        endAll(transactions);
+        rollBackAll(transactions);
       },
     };
   };
 
   return {
     accept,
-    leave: () => {
+    announceDrain: () => {
       isLeaving = true;
       for (const respond of streams.keys()) respond(createResponse(0));
     },
-    abandonTransactions: () => {
-      for (const transactions of streams.values()) endAll(transactions);
+    abortTransactions: () => {
+      for (const transactions of streams.values()) rollBackAll(transactions);
     },
-    load: () => {
+    countActiveWork: () => {
       let open = 0;
       for (const transactions of streams.values()) open += transactions.size;
-      return running + open;
+      return runningStatements + open;
     },
   };
 }
--- a/packages/gateway/src/lib/sessions/callerSession.ts
+++ b/packages/gateway/src/lib/sessions/callerSession.ts
@@ -2,33 +2,33 @@
 import type { CallerStatement, FailureReason, UpstreamAnswer } from '@wisterialift/pooling';
 import type { Logger } from '@wisterialift/telemetry';
 import type { Route } from '../configuration/gatewayConfiguration';
-import type { ConfigurationBook } from '../configuration/configurationBook';
+import type { ActiveConfiguration } from '../configuration/activeConfiguration';
 import type { GroupAccess, Transaction } from '../groups/groupAccess';
 import type { AskedAt } from '../groups/groupContext';
 import type { GroupSession, StatementRequest } from '../groups/statementRequest';
 import type { CallerAnswer, CallerEvents, CallerLink } from '../ports/callerPort';
 import type { CancelTimer, Clock } from '../ports/clock';
 
-/** One session of a caller. */
+/** Runs the statements of one caller in order. */
 export interface CallerSession {
   events: CallerEvents;
-  /** Ends the session as soon as it has no transaction and no statement in work. */
+  /** Ends the session once it has no open transaction and no pending statement. */
   drain: () => void;
-  /** Gives up a transaction that is still open, for a process that has to stop. */
-  abandonTransaction: () => void;
+  /** Rolls back the open transaction and marks it as failed. */
+  abortTransaction: () => void;
 }
 
 export interface CallerSessionOptions {
   link: CallerLink;
   clock: Clock;
   logger: Logger;
-  book: ConfigurationBook;
+  configuration: ActiveConfiguration;
   findGroup: (group: string) => GroupAccess | undefined;
   onEnd: () => void;
   onAnswered: (sample: AnswerSample) => void;
 }
 
-/** What the counters and histograms learn of one answer. */
+/** Metrics sample of one answered statement. @public */
 export interface AnswerSample {
   route: Route | undefined;
   type: CallerStatement['type'];
@@ -36,7 +36,7 @@
   milliseconds: number;
 }
 
-/** A transaction of the caller; it gets a connection with its first statement. */
+/** An open transaction; it takes a connection on its first statement. */
 interface OpenTransaction {
   route: Route;
   version: number;
@@ -47,24 +47,24 @@
   isFailed: boolean;
 }
 
-/** Callers give a session up that has not started within two seconds. */
-const START_WAIT_MILLISECONDS = 1_500;
-const START_STEP_MILLISECONDS = 20;
+/** Shorter than the 2 s after which callers abandon a session that has not started. */
+const START_TIMEOUT_MILLISECONDS = 1_500;
+const START_POLL_INTERVAL_MILLISECONDS = 20;
 
 type Handler<Type extends CallerStatement['type']> = (
   statement: CallerStatement & { type: Type },
 ) => Promise<CallerAnswer> | CallerAnswer;
 
 export function createCallerSession(options: CallerSessionOptions): CallerSession {
-  const { link, clock, logger, book, findGroup, onEnd, onAnswered } = options;
+  const { link, clock, logger, configuration, findGroup, onEnd, onAnswered } = options;
   const session: GroupSession = { state: createSessionState(), lastCommit: undefined };
   let database = '';
   let transaction: OpenTransaction | undefined;
-  let pending = 0;
-  let work = Promise.resolve();
+  let pendingStatements = 0;
+  let statementQueue = Promise.resolve();
   let isDraining = false;
   let isEnded = false;
-  let cancelIdleLimit: CancelTimer | undefined;
+  let cancelIdleTimer: CancelTimer | undefined;
 
   const handlers: { [Type in CallerStatement['type']]: Handler<Type> } = {
     begin: ({ isReadOnly }) => begin(isReadOnly),
@@ -74,32 +74,32 @@
     write: (statement) => runStatement(statement),
     set: ({ name, value }) => {
       session.state.values.set(name, value);
-      return complete();
+      return createCompletedAnswer();
     },
     prepare: ({ name, access, shape }) => {
       session.state.prepared.set(name, { access, shape });
-      return complete();
+      return createCompletedAnswer();
     },
     execute: (statement) => {
       const prepared = session.state.prepared.get(statement.name);
-      if (!prepared) return refuseHere('unknownStatement', `${statement.name} is not prepared`);
+      if (!prepared) return createRefusal('unknownStatement', `${statement.name} is not prepared`);
       return runStatement(statement, {
         statement: prepared,
         argumentsText: statement.argumentsText,
       });
     },
     deallocate: ({ name }) => {
-      if (session.state.prepared.delete(name)) return complete();
-      return refuseHere('unknownStatement', `${name} is not prepared`);
+      if (session.state.prepared.delete(name)) return createCompletedAnswer();
+      return createRefusal('unknownStatement', `${name} is not prepared`);
     },
-    unknown: ({ text }) => refuseHere('malformed', `not a statement: ${text.slice(0, 40)}`),
+    unknown: ({ text }) => createRefusal('malformed', `not a statement: ${text.slice(0, 40)}`),
   };
 
   function onStart(name: string): void {
     database = name;
-    const found = book.find(name);
+    const found = configuration.findRoute(name);
     if (!found) {
-      void startLater(name, clock.now() + START_WAIT_MILLISECONDS);
+      void startWhenConfigured(name, clock.now() + START_TIMEOUT_MILLISECONDS);
       return;
     }
     if (!found.route) {
@@ -109,13 +109,13 @@
     link.accept();
   }
 
-  /** Right after a start of the process the configuration is a call away; a refusal costs a try. */
-  async function startLater(name: string, until: number): Promise<void> {
-    while (!isEnded && !book.current() && clock.now() < until) {
-      await clock.pause(START_STEP_MILLISECONDS);
+  /** Waits for the first configuration after a process start instead of refusing the session. */
+  async function startWhenConfigured(name: string, waitUntil: number): Promise<void> {
+    while (!isEnded && !configuration.get() && clock.now() < waitUntil) {
+      await clock.pause(START_POLL_INTERVAL_MILLISECONDS);
     }
     if (isEnded) return;
-    if (book.current()) onStart(name);
+    if (configuration.get()) onStart(name);
     else refuseStart('busy', 'no configuration is known yet, come back later');
   }
 
@@ -124,48 +124,51 @@
       database,
       reason,
       detail,
-      version: book.current()?.version,
+      version: configuration.get()?.version,
     });
     link.refuse(reason, detail);
-    finish();
+    endSession();
   }
 
   function onStatement(statement: CallerStatement): void {
     if (isEnded) return;
-    pending += 1;
-    cancelIdleLimit?.();
+    pendingStatements += 1;
+    cancelIdleTimer?.();
     const arrivedAt = clock.now();
-    work = work.then(() => answerStatement(statement, arrivedAt));
+    statementQueue = statementQueue.then(() => answerStatement(statement, arrivedAt));
   }
 
   async function answerStatement(statement: CallerStatement, arrivedAt: number): Promise<void> {
-    const route = transaction?.route ?? book.find(database)?.route;
-    const answer = await handle(statement);
-    pending -= 1;
+    const route = transaction?.route ?? configuration.findRoute(database)?.route;
+    const answer = await handleStatement(statement);
+    pendingStatements -= 1;
     const outcome = answer.outcome === 'refused' ? answer.reason : 'completed';
     onAnswered({ route, type: statement.type, outcome, milliseconds: clock.now() - arrivedAt });
     if (isEnded) return;
     link.answer(answer);
-    watchIdleTransaction();
+    startIdleTimer();
     endIfDrained();
   }
 
-  async function handle(statement: CallerStatement): Promise<CallerAnswer> {
+  async function handleStatement(statement: CallerStatement): Promise<CallerAnswer> {
     if (transaction?.isFailed && statement.type !== 'rollback' && statement.type !== 'commit') {
-      return refuseHere('malformed', 'the transaction has failed and must be ended');
+      return createRefusal('malformed', 'the transaction has failed and must be ended');
     }
     try {
       const handler = handlers[statement.type] as Handler<CallerStatement['type']>;
       return await handler(statement);
     } catch (error) {
       logger.error('statementFailed', { requestId: statement.id, error: error as Error });
-      return refuseHere('unknownOutcome', 'the instance failed while it worked at the statement');
+      return createRefusal(
+        'unknownOutcome',
+        'the instance failed while it worked at the statement',
+      );
     }
   }
 
   function begin(isReadOnly: boolean): CallerAnswer {
-    if (transaction) return refuseHere('malformed', 'a transaction is open already');
-    const found = findTask();
+    if (transaction) return createRefusal('malformed', 'a transaction is open already');
+    const found = findRoutedGroup();
     if ('refusal' in found) return found.refusal;
     const { route, version, task } = found;
     transaction = {
@@ -176,20 +179,20 @@
       began: task.markArrival(),
       isFailed: false,
     };
-    return complete();
+    return createCompletedAnswer();
   }
 
-  function findTask():
+  function findRoutedGroup():
     { route: Route; version: number; task: GroupAccess } | { refusal: CallerAnswer } {
-    const found = book.find(database);
+    const found = configuration.findRoute(database);
     if (!found?.route) {
-      return { refusal: refuseHere('unknownDatabase', `no route leads to ${database}`) };
+      return { refusal: createRefusal('unknownDatabase', `no route leads to ${database}`) };
     }
     const { route, version } = found;
     const task = findGroup(route.group);
     if (task) return { route, version, task };
     return {
-      refusal: refuseHere('busy', `no database of ${route.group} is known, come back later`),
+      refusal: createRefusal('busy', `no database of ${route.group} is known, come back later`),
     };
   }
 
@@ -198,16 +201,16 @@
     prepared?: StatementRequest['prepared'],
   ): Promise<CallerAnswer> {
     if (transaction) return runInTransaction(transaction, statement, prepared);
-    const found = findTask();
+    const found = findRoutedGroup();
     if ('refusal' in found) return found.refusal;
     const { task } = found;
-    const request = toRequest(statement, found, prepared);
+    const request = createRequest(statement, found, prepared);
     const isWrite = (prepared?.statement.access ?? statement.type) === 'write';
     const answer = await (isWrite ? task.write(request) : task.read(request));
     return toCallerAnswer(answer, 'idle');
   }
 
-  function toRequest(
+  function createRequest(
     { id, text }: CallerStatement,
     { route, version, task }: { route: Route; version: number; task: GroupAccess },
     prepared?: StatementRequest['prepared'],
@@ -222,16 +225,16 @@
     statement: CallerStatement,
     prepared?: StatementRequest['prepared'],
   ): Promise<CallerAnswer> {
-    const request = toRequest(statement, open, prepared);
-    const opened = await openUpstream(open, request);
+    const request = createRequest(statement, open, prepared);
+    const opened = await openUpstreamTransaction(open, request);
     if (opened) return failTransaction(open, opened);
     const answer = await open.upstream!.run(request);
     if (answer.transaction !== 'open') return failTransaction(open, answer);
     return toCallerAnswer(answer, 'open');
   }
 
-  /** @returns the refusal, or undefined where the transaction has its connection. */
-  async function openUpstream(
+  /** @returns the refusal, or undefined if the transaction has a connection. */
+  async function openUpstreamTransaction(
     open: OpenTransaction,
     request: StatementRequest,
   ): Promise<UpstreamAnswer | undefined> {
@@ -252,13 +255,13 @@
 
   async function commit(statement: CallerStatement): Promise<CallerAnswer> {
     const open = transaction;
-    if (!open) return refuseHere('malformed', 'no transaction is open');
+    if (!open) return createRefusal('malformed', 'no transaction is open');
     if (open.isFailed) {
       transaction = undefined;
-      return refuseHere('aborted', 'the transaction had failed and was rolled back');
+      return createRefusal('aborted', 'the transaction had failed and was rolled back');
     }
-    const request = toRequest(statement, open);
-    const refused = await openUpstream(open, request);
+    const request = createRequest(statement, open);
+    const refused = await openUpstreamTransaction(open, request);
     const answer = refused ?? (await open.upstream!.commit(request));
     transaction = undefined;
     return toCallerAnswer(answer, 'idle');
@@ -267,7 +270,7 @@
   function rollBack(): CallerAnswer {
     transaction?.upstream?.rollBack();
     transaction = undefined;
-    return complete();
+    return createCompletedAnswer();
   }
 
   function toCallerAnswer(
@@ -282,59 +285,59 @@
     return { outcome: 'completed', rows, signature, transaction: state };
   }
 
-  const transactionState = (): CallerAnswer['transaction'] => {
+  const getTransactionState = (): CallerAnswer['transaction'] => {
     if (!transaction) return 'idle';
     return transaction.isFailed ? 'failed' : 'open';
   };
 
-  function complete(): CallerAnswer {
-    return { outcome: 'completed', rows: [], transaction: transactionState() };
+  function createCompletedAnswer(): CallerAnswer {
+    return { outcome: 'completed', rows: [], transaction: getTransactionState() };
   }
 
-  function refuseHere(reason: FailureReason, detail: string): CallerAnswer {
-    return { outcome: 'refused', reason, detail, transaction: transactionState() };
+  function createRefusal(reason: FailureReason, detail: string): CallerAnswer {
+    return { outcome: 'refused', reason, detail, transaction: getTransactionState() };
   }
 
   /**
-   * Ends a transaction that its caller has left idle: it holds a connection, of which the members
-   * have few, and its locks. The caller learns it with its next statement.
+   * Aborts a transaction that stays idle, to free its connection and locks. The next statement of
+   * the caller reports the failure.
    */
-  function watchIdleTransaction(): void {
+  function startIdleTimer(): void {
     const open = transaction;
-    const idle = book.current()?.transactionIdle;
+    const idle = configuration.get()?.transactionIdle;
     if (!open?.upstream || open.isFailed || !idle) return;
-    cancelIdleLimit = clock.after(idle, () => {
+    cancelIdleTimer = clock.after(idle, () => {
       logger.info('transactionIdle', { database, idleMilliseconds: idle });
-      abandonTransaction();
+      abortTransaction();
     });
   }
 
-  function abandonTransaction(): void {
+  function abortTransaction(): void {
     if (!transaction || transaction.isFailed) return;
     transaction.isFailed = true;
     transaction.upstream?.rollBack();
   }
 
   function endIfDrained(): void {
-    if (!isDraining || isEnded || pending > 0 || transaction) return;
+    if (!isDraining || isEnded || pendingStatements > 0 || transaction) return;
     link.end();
-    finish();
+    endSession();
   }
 
-  function finish(): void {
+  function endSession(): void {
     if (isEnded) return;
     isEnded = true;
-    cancelIdleLimit?.();
+    cancelIdleTimer?.();
     transaction?.upstream?.rollBack();
     onEnd();
   }
 
   return {
-    events: { onStart, onStatement, onLeave: finish },
+    events: { onStart, onStatement, onLeave: endSession },
     drain: () => {
       isDraining = true;
       endIfDrained();
     },
-    abandonTransaction,
+    abortTransaction,
   };
 }
--- a/packages/gateway/src/test/fixture.ts
+++ b/packages/gateway/src/test/fixture.ts
@@ -4,15 +4,15 @@
 
 export const GROUP = 'group-1';
 
-export const nothing = () => undefined;
+export const noop = () => undefined;
 
-/** A logger whose lines all go to one function. */
-export function createTestLogger(write: (event: string) => void = nothing): Logger {
+/** Creates a logger that passes the event name of every line to `write`. */
+export function createTestLogger(write: (event: string) => void = noop): Logger {
   return { trace: write, debug: write, info: write, warn: write, error: write };
 }
 
-/** Options of a gateway without members, callers or other instances; a test changes what it is about. */
-export function createIdleOptions(changes: Partial<GatewayOptions> = {}): GatewayOptions {
+/** Gateway options without members, callers or other instances; `changes` override them. */
+export function createTestOptions(changes: Partial<GatewayOptions> = {}): GatewayOptions {
   return {
     instance: 'instance-1',
     dataCentre: 'zone-1',
@@ -20,7 +20,7 @@
     clock: createProcessClock(),
     random: () => 0,
     logger: createTestLogger(),
-    driver: { connect: () => Promise.reject(new Error('no member')), readReport: nothing },
+    driver: { connect: () => Promise.reject(new Error('no member')), readReport: noop },
     directory: { follow: ({ onChange }) => onChange([], { isFresh: true, newSince: undefined }) },
     configuration: {
       follow: (onChange) =>
@@ -33,13 +33,13 @@
     },
     store: { read: async () => undefined, replace: async () => ({ type: 'unknown' }) },
     orders: { promote: async () => 'unknown' },
-    registry: { follow: nothing, reportGone: nothing },
+    registry: { follow: noop, reportGone: noop },
     transport: {
-      open: () => ({ send: nothing, close: nothing }),
-      listen: nothing,
-      close: nothing,
+      open: () => ({ send: noop, close: noop }),
+      listen: noop,
+      close: noop,
     },
-    onAnswered: nothing,
+    onAnswered: noop,
     ...changes,
   };
 }
--- a/packages/gateway/src/test/peerLink.test.ts
+++ b/packages/gateway/src/test/peerLink.test.ts
@@ -5,13 +5,13 @@
 
 const clock = createProcessClock();
 
-/** A link to an instance that does with each request what the test says. */
+/** Creates a link to an instance that passes each request to `onRequest`. */
 function createLink(onRequest: (request: RelayRequest, events: RelayStreamEvents) => void) {
   const losses: string[] = [];
   const link = createPeerLink({
     transport: {
       open: (_, events) => {
-        setImmediate(() => events.onResponse(responseOf(0)));
+        setImmediate(() => events.onResponse(createResponse(0)));
         return {
           send: (request) => setImmediate(() => onRequest(request, events)),
           close: () => undefined,
@@ -28,38 +28,42 @@
   return { link, losses };
 }
 
-function responseOf(number: number, isLeaving = false) {
+function createResponse(number: number, isLeaving = false) {
   return { number, isLeaving, answer: undefined, version: 3, configurationJson: '' };
 }
 
-const inAnHour = () => clock.now() + 3_600_000;
+const getDistantDeadline = () => clock.now() + 3_600_000;
 
-describe('a stream to another instance', () => {
-  it('is given up where the other one goes silent', async () => {
-    // Callers waited for the whole time limit of their statements.
-    // The machine of a holder had lost power: its connections neither answered nor broke.
+describe('a relay stream', () => {
+  it('is closed if the other instance does not answer', async () => {
+    // Guards against waiting for the statement time limit after a holder lost power without closing
+    // its connections.
     const { link, losses } = createLink(() => undefined);
-    expect(await link.ask({ wantsConfiguration: true }, inAnHour())).toEqual({ type: 'lost' });
-    expect(losses).toEqual(['holder:1 has gone silent']);
-    expect(await link.ask({ wantsConfiguration: true }, inAnHour())).toEqual({ type: 'notSent' });
+    expect(await link.request({ wantsConfiguration: true }, getDistantDeadline())).toEqual({
+      type: 'lost',
+    });
+    expect(losses).toEqual(['liveness probe timed out: holder:1 has gone silent']);
+    expect(await link.request({ wantsConfiguration: true }, getDistantDeadline())).toEqual({
+      type: 'notSent',
+    });
   });
 
-  it('is kept where the other one is slow and answers that it lives', async () => {
+  it('stays open if the other instance is slow but answers probes', async () => {
     const { link, losses } = createLink(({ number, wantsConfiguration }, { onResponse }) => {
-      if (!wantsConfiguration) onResponse(responseOf(number));
+      if (!wantsConfiguration) onResponse(createResponse(number));
     });
     const answerBy = clock.now() + 1_500;
-    expect(await link.ask({ wantsConfiguration: true }, answerBy)).toEqual({ type: 'lost' });
+    expect(await link.request({ wantsConfiguration: true }, answerBy)).toEqual({ type: 'lost' });
     expect(losses).toEqual([]);
     expect(link.isUsable()).toBe(true);
     link.close();
   });
 
-  it('takes no new statements of this instance once the other one is about to stop', async () => {
+  it('accepts no new statements once the other instance is stopping', async () => {
     const { link } = createLink(({ number }, { onResponse }) =>
-      onResponse(responseOf(number, true)),
+      onResponse(createResponse(number, true)),
     );
-    await link.ask({}, inAnHour());
+    await link.request({}, getDistantDeadline());
     expect(link.isUsable()).toBe(false);
     link.close();
   });
--- a/packages/gateway/src/test/relayService.test.ts
+++ b/packages/gateway/src/test/relayService.test.ts
@@ -1,10 +1,10 @@
 import type { RelayRequest, RelayStatement } from '@wisterialift/peer/relay';
 import { describe, expect, it } from 'vitest';
-import { createConfigurationBook } from '../lib/configuration/configurationBook';
+import { createActiveConfiguration } from '../lib/configuration/activeConfiguration';
 import type { GroupAccess, Transaction } from '../lib/groups/groupAccess';
 import { createProcessClock } from '../lib/ports/clock';
 import { createRelayService } from '../lib/relay/relayService';
-import { createTestLogger, nothing } from './fixture';
+import { createTestLogger, noop } from './fixture';
 
 const logger = createTestLogger();
 
@@ -31,7 +31,7 @@
   },
 };
 
-function requestOf(content: Partial<RelayRequest>): RelayRequest {
+function createRequest(content: Partial<RelayRequest>): RelayRequest {
   return {
     number: 1,
     statement: undefined,
@@ -42,11 +42,16 @@
   };
 }
 
-/** A service over a group that counts the transactions which are open at its members. */
+/** Creates a service with a fake group that counts open transactions. */
 function createService() {
   const clock = createProcessClock();
-  const book = createConfigurationBook({ clock, onAdopted: nothing });
-  book.adopt({ version: 3, routes: new Map(), groups: new Map(), transactionIdle: 3_000 });
+  const configuration = createActiveConfiguration({ clock, onAdopted: noop });
+  configuration.adopt({
+    version: 3,
+    routes: new Map(),
+    groups: new Map(),
+    transactionIdle: 3_000,
+  });
   let open = 0;
   const transaction: Transaction = {
     run: async () => ({ outcome: 'completed', rows: [], signature: 's', transaction: 'open' }),
@@ -64,38 +69,37 @@
     },
   };
   const service = createRelayService({
-    book,
+    configuration,
     findGroup: () => group as GroupAccess,
-    freshenDirectory: () => new Promise(setImmediate),
+    refreshDirectory: () => new Promise(setImmediate),
     clock,
     logger,
   });
   return { service, countOpen: () => open };
 }
 
-/** Lets all that waits for a turn of the event loop go on. */
+/** Runs ten turns of the event loop, enough for the immediate callbacks of a request. */
 async function settle(): Promise<void> {
   for (let turn = 0; turn < 10; turn += 1) await new Promise(setImmediate);
 }
 
-describe('a transaction that another instance began here', () => {
-  it('leaves nothing open where its caller leaves at once', async () => {
-    // Callers waited for connections that no transaction of anybody used.
-    // The roll-back of a caller that left came while its first statement waited for the directory; it
-    // found no transaction to end, and the one that began afterwards stayed open.
+describe('a relayed transaction', () => {
+  it('leaves no transaction open if its caller disconnects immediately', async () => {
+    // Guards against a connection leak: the rollback may arrive before the transaction has begun,
+    // while its first statement waits for the directory.
     const { service, countOpen } = createService();
-    const { onRequest } = service.accept(nothing);
-    onRequest(requestOf({ statement: firstStatement }));
-    onRequest(requestOf({ number: 0, rolledBackTransaction: 1 }));
+    const { onRequest } = service.accept(noop);
+    onRequest(createRequest({ statement: firstStatement }));
+    onRequest(createRequest({ number: 0, rolledBackTransaction: 1 }));
     await settle();
     expect(countOpen()).toBe(0);
-    expect(service.load()).toBe(0);
+    expect(service.countActiveWork()).toBe(0);
   });
 
-  it('is rolled back where the stream ends', async () => {
+  it('is rolled back if the stream ends', async () => {
     const { service, countOpen } = createService();
-    const { onRequest, onEnd } = service.accept(nothing);
-    onRequest(requestOf({ statement: firstStatement }));
+    const { onRequest, onEnd } = service.accept(noop);
+    onRequest(createRequest({ statement: firstStatement }));
     await settle();
     expect(countOpen()).toBe(1);
     onEnd();
--- a/packages/gateway/src/test/relayVersions.test.ts
+++ b/packages/gateway/src/test/relayVersions.test.ts
@@ -1,8 +1,8 @@
 import type { UpstreamAnswer } from '@wisterialift/pooling';
 import { createSessionState } from '@wisterialift/pooling';
 import { describe, expect, it } from 'vitest';
-import { createConfigurationBook } from '../lib/configuration/configurationBook';
-import type { ConfigurationBook } from '../lib/configuration/configurationBook';
+import { createActiveConfiguration } from '../lib/configuration/activeConfiguration';
+import type { ActiveConfiguration } from '../lib/configuration/activeConfiguration';
 import type { GatewayConfiguration, Route } from '../lib/configuration/gatewayConfiguration';
 import type { GroupTask } from '../lib/groups/groupTask';
 import type { StatementRequest } from '../lib/groups/statementRequest';
@@ -15,10 +15,10 @@
 
 const GROUP = 'group-1';
 const clock = createProcessClock();
-const write = (): void => undefined;
-const logger = createTestLogger(write);
+const noop = (): void => undefined;
+const logger = createTestLogger(noop);
 
-const routeTo = (group: string): Route => ({
+const createRoute = (group: string): Route => ({
   database: 'history',
   group,
   consistency: 'boundedStaleness',
@@ -28,19 +28,19 @@
   priority: 1,
 });
 
-function configurationOf(version: number, group?: string): GatewayConfiguration {
+function createConfiguration(version: number, group?: string): GatewayConfiguration {
   return {
     version,
-    routes: new Map(group === undefined ? [] : [['history', routeTo(group)]]),
+    routes: new Map(group === undefined ? [] : [['history', createRoute(group)]]),
     groups: new Map([[GROUP, { name: GROUP, maximumConnections: 6 }]]),
     transactionIdle: 3_000,
   };
 }
 
-/** A group that runs every read and tells the version that it ran by. */
-function createGroup(ran: number[], onRun = write): GroupTask {
+/** Creates a group that completes every read and records its configuration version. */
+function createGroup(executedVersions: number[], onRun = noop): GroupTask {
   const read = async ({ version }: StatementRequest): Promise<UpstreamAnswer> => {
-    ran.push(version);
+    executedVersions.push(version);
     onRun();
     return { outcome: 'completed', rows: [], signature: 's', transaction: 'idle' };
   };
@@ -49,21 +49,24 @@
   return { read, markArrival, counters } as Partial<GroupTask> as GroupTask;
 }
 
-/** An instance that relays and one that holds, each with its own version of the configuration. */
-function createPair(own: GatewayConfiguration, held: GatewayConfiguration) {
-  const ran: number[] = [];
-  const order: string[] = [];
-  let group: GroupTask | undefined = createGroup(ran);
-  const local = createGroup(ran, () => order.push('ran'));
+/** Creates a relaying instance and a holder with separate configurations. */
+function createPair(
+  relayInitialConfiguration: GatewayConfiguration,
+  holderInitialConfiguration: GatewayConfiguration,
+) {
+  const executedVersions: number[] = [];
+  const executionOrder: string[] = [];
+  let group: GroupTask | undefined = createGroup(executedVersions);
+  const local = createGroup(executedVersions, () => executionOrder.push('executed'));
   let isLost = false;
-  const book = createConfigurationBook({ clock, onAdopted: write });
-  const holderBook = createConfigurationBook({ clock, onAdopted: write });
-  book.adopt(own);
-  holderBook.adopt(held);
+  const activeConfiguration = createActiveConfiguration({ clock, onAdopted: noop });
+  const holderConfiguration = createActiveConfiguration({ clock, onAdopted: noop });
+  activeConfiguration.adopt(relayInitialConfiguration);
+  holderConfiguration.adopt(holderInitialConfiguration);
   const service = createRelayService({
-    book: holderBook,
+    configuration: holderConfiguration,
     findGroup: () => group,
-    freshenDirectory: async () => undefined,
+    refreshDirectory: async () => undefined,
     clock,
     logger,
   });
@@ -74,124 +77,140 @@
       });
       return { send: (request) => setImmediate(() => onRequest(request)), close: onEnd };
     },
-    listen: write,
-    close: write,
+    listen: noop,
+    close: noop,
   };
-  const options = { transport, address: 'holder', clock, onOpen: write, onLost: write };
+  const options = { transport, address: 'holder', clock, onOpen: noop, onLost: noop };
   const link = createPeerLink(options);
   const relayed = createRelayedGroup({
     random: () => 0,
     group: GROUP,
     local,
     holders: {
-      choose: () => (isLost ? undefined : link),
+      selectLink: () => (isLost ? undefined : link),
       isHolder: () => false,
-      countSharers: () => 2,
-      isKnown: () => true,
-      updateInstances: write,
-      updateLimits: write,
-      close: write,
+      countConnectedInstances: () => 2,
+      isReady: () => true,
+      updateInstances: noop,
+      updateLimits: noop,
+      close: noop,
     },
-    book,
-    freshenDirectory: async () => {
-      order.push('freshened');
+    configuration: activeConfiguration,
+    refreshDirectory: async () => {
+      executionOrder.push('refreshed');
     },
     clock,
     logger,
   });
   return {
-    ran,
-    order,
+    executedVersions,
+    executionOrder,
     relayed,
-    book,
-    holderBook,
-    forgetGroup: () => {
+    activeConfiguration,
+    holderConfiguration,
+    removeGroup: () => {
       group = undefined;
     },
-    loseHolder: () => {
+    disconnectHolder: () => {
       isLost = true;
     },
   };
 }
 
-function createRequest(book: ConfigurationBook): StatementRequest {
-  const { route, version } = book.find('history')!;
+function createRequest(activeConfiguration: ActiveConfiguration): StatementRequest {
+  const { route, version } = activeConfiguration.findRoute('history')!;
   const arrived = { sequence: 0, at: clock.now() };
   const session = { state: createSessionState(), lastCommit: undefined };
   const deadlineAt = arrived.at + 2_000;
   return { id: 'q1', text: 'READ lamp-1', session, route: route!, version, arrived, deadlineAt };
 }
 
-describe('two instances with different versions of the configuration', () => {
-  // A caller found a database again whose route had been dropped.
-  // The store turned one machine away. It ran a statement of another machine by the new version, which
-  // came with it, and the next one of its own callers by the old version that it still had.
-  it('both go by the newer one of the instance that relays', async () => {
-    const { ran, relayed, book, holderBook } = createPair(
-      configurationOf(10, GROUP),
-      configurationOf(4, 'group-2'),
+describe('two instances with different configuration versions', () => {
+  // Guards against an instance cut off from the store that applies the new version to a relayed
+  // statement and then the old one to its own caller, who finds a dropped database again.
+  it('both use the newer version of the relaying instance', async () => {
+    const { executedVersions, relayed, activeConfiguration, holderConfiguration } = createPair(
+      createConfiguration(10, GROUP),
+      createConfiguration(4, 'group-2'),
     );
-    expect(await relayed.read(createRequest(book))).toMatchObject({ outcome: 'completed' });
-    expect(ran).toEqual([10]);
-    expect(holderBook.find('history')).toMatchObject({ version: 10, route: { group: GROUP } });
+    expect(await relayed.read(createRequest(activeConfiguration))).toMatchObject({
+      outcome: 'completed',
+    });
+    expect(executedVersions).toEqual([10]);
+    expect(holderConfiguration.findRoute('history')).toMatchObject({
+      version: 10,
+      route: { group: GROUP },
+    });
   });
 
-  it('both go by the newer one of the instance that holds', async () => {
-    const { ran, relayed, book } = createPair(
-      configurationOf(4, GROUP),
-      configurationOf(10, GROUP),
+  it('both use the newer version of the holder', async () => {
+    const { executedVersions, relayed, activeConfiguration } = createPair(
+      createConfiguration(4, GROUP),
+      createConfiguration(10, GROUP),
     );
-    expect(await relayed.read(createRequest(book))).toMatchObject({ outcome: 'completed' });
-    expect(ran).toEqual([10]);
-    expect(book.version()).toBe(10);
+    expect(await relayed.read(createRequest(activeConfiguration))).toMatchObject({
+      outcome: 'completed',
+    });
+    expect(executedVersions).toEqual([10]);
+    expect(activeConfiguration.getVersion()).toBe(10);
   });
 
-  it('run nothing by a route that the newer one has dropped', async () => {
-    const { ran, relayed, book } = createPair(configurationOf(4, GROUP), configurationOf(10));
-    expect(await relayed.read(createRequest(book))).toMatchObject({ reason: 'unknownDatabase' });
-    expect(ran).toEqual([]);
-    expect(book.find('history')?.route).toBeUndefined();
+  it('run no statement on a route that the newer version dropped', async () => {
+    const { executedVersions, relayed, activeConfiguration } = createPair(
+      createConfiguration(4, GROUP),
+      createConfiguration(10),
+    );
+    expect(await relayed.read(createRequest(activeConfiguration))).toMatchObject({
+      reason: 'unknownDatabase',
+    });
+    expect(executedVersions).toEqual([]);
+    expect(activeConfiguration.findRoute('history')?.route).toBeUndefined();
   });
 });
 
 describe('a statement that the holder cannot run', () => {
-  it('is refused at once, as one that has not run', async () => {
-    // A caller waited for four seconds for an answer that nobody was going to give.
-    // The holder had no group of that name yet and only wrote a line in its log.
-    const configuration = configurationOf(4, GROUP);
-    const { ran, relayed, book, forgetGroup } = createPair(configuration, configuration);
-    forgetGroup();
-    const request = createRequest(book);
+  it('is refused immediately as not executed', async () => {
+    // Guards against a holder that logs an unknown group without sending an answer.
+    const configuration = createConfiguration(4, GROUP);
+    const { executedVersions, relayed, activeConfiguration, removeGroup } = createPair(
+      configuration,
+      configuration,
+    );
+    removeGroup();
+    const request = createRequest(activeConfiguration);
     const lastCommit = { position: { term: 1, index: 7 }, seenAt: clock.now() };
     request.session.lastCommit = lastCommit;
     expect(await relayed.read(request)).toMatchObject({ reason: 'busy' });
-    expect(ran).toEqual([]);
-    // Without it, the session's next read would have passed for a first one and missed its own write.
+    expect(executedVersions).toEqual([]);
+    // Without the commit position, the next read of the session could miss its own write.
     expect(request.session.lastCommit?.position).toEqual(lastCommit.position);
   });
 });
 
-describe('an instance that runs a statement itself', () => {
-  it('first learns which members there are now', async () => {
-    // Statements reached a database that had been leaving for longer than it may be used.
-    // The instance had held no connections, and took over from a holder by a list of ten seconds ago.
-    const configuration = configurationOf(4, GROUP);
-    const { order, relayed, book, loseHolder } = createPair(configuration, configuration);
-    loseHolder();
-    await relayed.read(createRequest(book));
-    expect(order).toEqual(['freshened', 'ran']);
+describe('an instance that runs a statement locally', () => {
+  it('refreshes the directory first', async () => {
+    // Guards against sending statements to a member past its leaving bound: an instance without
+    // connections has a directory that may be seconds old.
+    const configuration = createConfiguration(4, GROUP);
+    const { executionOrder, relayed, activeConfiguration, disconnectHolder } = createPair(
+      configuration,
+      configuration,
+    );
+    disconnectHolder();
+    await relayed.read(createRequest(activeConfiguration));
+    expect(executionOrder).toEqual(['refreshed', 'executed']);
   });
 });
 
-describe('the version in force', () => {
-  it('never goes back, and wakes who waits for it', async () => {
-    const book = createConfigurationBook({ clock, onAdopted: write });
-    const waiting = book.waitFor(9, 5_000);
-    book.adopt(configurationOf(4, GROUP));
-    book.adopt(configurationOf(9, GROUP));
+describe('the active configuration', () => {
+  it('never returns to an older version and resolves waiting calls', async () => {
+    const activeConfiguration = createActiveConfiguration({ clock, onAdopted: noop });
+    const waiting = activeConfiguration.waitForVersion(9, 5_000);
+    activeConfiguration.adopt(createConfiguration(4, GROUP));
+    activeConfiguration.adopt(createConfiguration(9, GROUP));
     expect(await waiting).toBe(true);
-    book.adopt(configurationOf(4, GROUP));
-    expect(book.version()).toBe(9);
-    expect(await book.waitFor(10, 1)).toBe(false);
+    activeConfiguration.adopt(createConfiguration(4, GROUP));
+    expect(activeConfiguration.getVersion()).toBe(9);
+    expect(await activeConfiguration.waitForVersion(10, 1)).toBe(false);
   });
 });
--- a/packages/gateway/src/test/statementGate.test.ts
+++ b/packages/gateway/src/test/statementGate.test.ts
@@ -2,12 +2,12 @@
 import { createStatementGate } from '../lib/groups/statementGate';
 import type { GateRequest, StatementGate } from '../lib/groups/statementGate';
 import { createProcessClock } from '../lib/ports/clock';
-import { nothing } from './fixture';
+import { noop } from './fixture';
 
 const clock = createProcessClock();
 
-/** A gate for one statement at a time, before a member that has no place for another connection. */
-function createFullGate(): StatementGate {
+/** Creates a gate with a limit of one statement and no free connections. */
+function createGateWithoutConnections(): StatementGate {
   return createStatementGate({
     clock,
     limit: 1,
@@ -15,33 +15,31 @@
     expectedTime: () => 10,
     delay: () => 500,
     uses: () => true,
-    onWaiting: nothing,
+    onWaiting: noop,
   });
 }
 
-function requestOf(changes: Partial<GateRequest>): GateRequest {
+function createRequest(changes: Partial<GateRequest>): GateRequest {
   const arrivedAt = clock.now();
   return { priority: 1, goal: 500, arrivedAt, deadlineAt: arrivedAt + 400, ...changes };
 }
 
-describe('a statement of an open transaction', () => {
+describe('the statement gate', () => {
   const inTransaction = { priority: -1, hasConnection: true };
 
-  it('waits for its turn where no connection is to be had, since it has one', async () => {
-    // A caller's transaction was aborted in the middle, "the member did not answer", and the primary
-    // was suspected, while the member would have run the statement within 10 ms.
-    // All connections were held by transactions and the member had no place for another; the time
-    // until there is one counted for statements that need none.
-    const gate = createFullGate();
-    const first = requestOf(inTransaction);
+  it('queues a transaction statement although no connection is free', async () => {
+    // Guards against counting the wait for a free connection: with all connections in use by
+    // transactions, their statements were aborted and the primary was suspected.
+    const gate = createGateWithoutConnections();
+    const first = createRequest(inTransaction);
     expect(await gate.enter(first)).toBe('admitted');
-    const second = gate.enter(requestOf(inTransaction));
+    const second = gate.enter(createRequest(inTransaction));
     gate.leave(first);
     expect(await second).toBe('admitted');
   });
 
-  it('is not the one that needs a connection', async () => {
-    const gate = createFullGate();
-    expect(await gate.enter(requestOf({}))).toBe('tooLate');
+  it('rejects a statement that needs a connection', async () => {
+    const gate = createGateWithoutConnections();
+    expect(await gate.enter(createRequest({}))).toBe('tooLate');
   });
 });
--- a/packages/gateway/src/test/suspension.test.ts
+++ b/packages/gateway/src/test/suspension.test.ts
@@ -2,29 +2,27 @@
 import { describe, expect, it } from 'vitest';
 import { createGateway, createProcessClock } from '../index';
 import type { InstanceEntry } from '../index';
-import { createIdleOptions, createTestLogger, GROUP, nothing } from './fixture';
+import { createTestOptions, createTestLogger, GROUP, noop } from './fixture';
 
-const instanceOf = (name: string): InstanceEntry => ({
+const createInstanceEntry = (name: string): InstanceEntry => ({
   instance: name,
   dataCentre: 'zone-1',
   address: `${name}:1`,
   weight: 1,
 });
 
-describe('a holder that was suspended', () => {
-  it('forgets the ages of what it knew before it runs another statement of others', async () => {
-    // A building manager read a register that lacked tests of five seconds ago.
-    // The machine of a holder had been suspended. Its steady clock had stood still, so positions from
-    // before looked fresh, and statements of other instances' callers came before the next look at the
-    // clocks.
-    let suspended = 0;
-    let accept: RelayAcceptor | undefined;
+describe('a holder after a suspension', () => {
+  it('discards position ages before it runs a relayed statement', async () => {
+    // Guards against stale reads: the monotonic clock stops during a suspension, so old positions
+    // look fresh until the clocks are next compared.
+    let suspendedMilliseconds = 0;
+    let acceptStream: RelayAcceptor | undefined;
     const events: string[] = [];
-    const options = createIdleOptions({
+    const options = createTestOptions({
       clock: {
         ...createProcessClock(),
         now: () => 1_000,
-        readings: () => ({ steady: 1_000, wall: 1_000 + suspended }),
+        readings: () => ({ steady: 1_000, wall: 1_000 + suspendedMilliseconds }),
       },
       logger: createTestLogger((event) => events.push(event)),
       configuration: {
@@ -37,20 +35,20 @@
           }),
       },
       registry: {
-        follow: (onChange) => onChange(['instance-1', 'instance-2'].map(instanceOf)),
-        reportGone: nothing,
+        follow: (onChange) => onChange(['instance-1', 'instance-2'].map(createInstanceEntry)),
+        reportGone: noop,
       },
       transport: {
-        open: () => ({ send: nothing, close: nothing }),
+        open: () => ({ send: noop, close: noop }),
         listen: (acceptor) => {
-          accept = acceptor;
+          acceptStream = acceptor;
         },
-        close: nothing,
+        close: noop,
       },
     });
     const gateway = createGateway(options);
-    suspended = 5_000;
-    accept!(nothing).onRequest({
+    suspendedMilliseconds = 5_000;
+    acceptStream!(noop).onRequest({
       number: 1,
       rolledBackTransaction: 0,
       wantsConfiguration: false,
--- a/packages/gateway/src/test/testMembers.ts
+++ b/packages/gateway/src/test/testGateway.ts
@@ -1,9 +1,9 @@
 import type { UpstreamAnswer, UpstreamCommand } from '@wisterialift/pooling';
 import { createGateway, createProcessClock } from '../index';
 import type { CallerAnswer, DirectoryAge, DirectoryEntry, Route } from '../index';
-import { createIdleOptions, createTestLogger, GROUP, nothing } from './fixture';
+import { createTestOptions, createTestLogger, GROUP, noop } from './fixture';
 
-/** The database name that callers of the test give; only the primary serves it. */
+/** Database of the test sessions; its consistency is `primary`. */
 export const DATABASE = 'ledger';
 
 const route: Route = {
@@ -16,11 +16,11 @@
   priority: 1,
 };
 
-/** The first member leads term 1, its successor term 2. */
-const positionOf = (memberId: string) => ({ term: memberId === 'db-1' ? 1 : 2, index: 1 });
+/** `db-1` is the primary of term 1, any other member of term 2. */
+const getPosition = (memberId: string) => ({ term: memberId === 'db-1' ? 1 : 2, index: 1 });
 
-/** A member as the directory lists it; a test changes what it is about. */
-export function listMember(changes: Partial<DirectoryEntry> = {}): DirectoryEntry {
+/** Creates a directory entry of a primary; `changes` override its fields. */
+export function createDirectoryEntry(changes: Partial<DirectoryEntry> = {}): DirectoryEntry {
   return {
     memberId: 'db-1',
     group: GROUP,
@@ -35,29 +35,29 @@
   };
 }
 
-interface SentStatement {
+interface ForwardedStatement {
   memberId: string;
   id: string;
   answer: () => void;
 }
 
-/** A gateway before members that answer what it asks itself at once, and statements when told to. */
+/** Starts a gateway with members that answer forwarded statements only when the test says so. */
 export function startTestGateway() {
-  const sent: SentStatement[] = [];
+  const forwarded: ForwardedStatement[] = [];
   const events: string[] = [];
-  let change: ((entries: DirectoryEntry[], age: DirectoryAge) => void) | undefined;
-  let present: DirectoryEntry[] = [];
-  let heldType: UpstreamCommand['type'] | undefined;
-  const held: (() => void)[] = [];
+  let updateDirectory: ((entries: DirectoryEntry[], age: DirectoryAge) => void) | undefined;
+  let currentEntries: DirectoryEntry[] = [];
+  let heldCommandType: UpstreamCommand['type'] | undefined;
+  const heldAnswers: (() => void)[] = [];
   const reports = new WeakMap<UpstreamAnswer, string>();
 
-  const completed = (memberId: string, transaction: UpstreamAnswer['transaction']) => {
+  const createCompletedAnswer = (memberId: string, transaction: UpstreamAnswer['transaction']) => {
     const answer: UpstreamAnswer = {
       outcome: 'completed',
       rows: [],
       signature: memberId,
       transaction,
-      position: positionOf(memberId),
+      position: getPosition(memberId),
     };
     reports.set(answer, memberId);
     return answer;
@@ -69,17 +69,17 @@
     command: UpstreamCommand,
   ): Promise<UpstreamAnswer> {
     return new Promise((resolve) => {
-      const answer = () => resolve(completed(memberId, state.transaction));
+      const answer = () => resolve(createCompletedAnswer(memberId, state.transaction));
       if (command.type === 'begin') Object.assign(state, { transaction: 'open' });
       if (command.type === 'rollback') Object.assign(state, { transaction: 'idle' });
-      if (command.type === 'forward') sent.push({ memberId, id: command.id, answer });
-      else if (command.type === heldType) held.push(answer);
+      if (command.type === 'forward') forwarded.push({ memberId, id: command.id, answer });
+      else if (command.type === heldCommandType) heldAnswers.push(answer);
       else answer();
     });
   }
 
   const gateway = createGateway(
-    createIdleOptions({
+    createTestOptions({
       clock: createProcessClock(),
       logger: createTestLogger((event) => events.push(event)),
       driver: {
@@ -88,19 +88,19 @@
           return {
             run: (command) => run(memberId, state, command),
             isOpen: () => true,
-            close: nothing,
+            close: noop,
           };
         },
         readReport: (answer) => {
           const memberId = reports.get(answer)!;
-          const { isPrimary } = present.find((entry) => entry.memberId === memberId)!;
-          const received = positionOf(memberId);
+          const { isPrimary } = currentEntries.find((entry) => entry.memberId === memberId)!;
+          const received = getPosition(memberId);
           return { isPrimary, term: received.term, received };
         },
       },
       directory: {
         follow: ({ onChange }) => {
-          change = onChange;
+          updateDirectory = onChange;
         },
       },
       configuration: {
@@ -115,14 +115,14 @@
     }),
   );
 
-  /** Opens a session; its statements' answers come in the order of the statements. */
+  /** Opens a session and collects its answers in statement order. */
   function openSession() {
     const answers: CallerAnswer[] = [];
     const caller = gateway.acceptCaller({
-      accept: nothing,
-      refuse: nothing,
+      accept: noop,
+      refuse: noop,
       answer: (answer) => answers.push(answer),
-      end: nothing,
+      end: noop,
     });
     caller.onStart(DATABASE);
     return {
@@ -137,22 +137,22 @@
   }
 
   return {
-    sent,
+    forwarded,
     events,
     openSession,
-    /** Tells the directory; without a time, nobody knows since when it is so. */
-    list: (entries: DirectoryEntry[], newSince?: DirectoryAge['newSince']) => {
-      present = entries;
-      change!(entries, { isFresh: true, newSince });
+    /** Publishes a directory snapshot; without `newSince`, the time of its changes is unknown. */
+    updateMembers: (entries: DirectoryEntry[], newSince?: DirectoryAge['newSince']) => {
+      currentEntries = entries;
+      updateDirectory!(entries, { isFresh: true, newSince });
     },
-    idsSentTo: (memberId: string) =>
-      sent.filter((statement) => statement.memberId === memberId).map(({ id }) => id),
-    /** Members answer commands of this type only once `answerHeld` is called. */
-    hold: (type: UpstreamCommand['type']) => {
-      heldType = type;
+    getForwardedIds: (memberId: string) =>
+      forwarded.filter((statement) => statement.memberId === memberId).map(({ id }) => id),
+    /** Delays answers to commands of this type until `releaseAnswers` is called. */
+    holdAnswers: (type: UpstreamCommand['type']) => {
+      heldCommandType = type;
     },
-    answerHeld: () => {
-      for (const answer of held.splice(0)) answer();
+    releaseAnswers: () => {
+      for (const answer of heldAnswers.splice(0)) answer();
     },
     close: gateway.close,
   };
