--- a/packages/gateway/src/lib/configuration/activeConfiguration.ts
+++ b/packages/gateway/src/lib/configuration/activeConfiguration.ts
@@ -34,7 +34,7 @@
   onAdopted,
 }: {
   clock: Clock;
-  onAdopted: (configuration: GatewayConfiguration, former: number | undefined) => void;
+  onAdopted: (configuration: GatewayConfiguration, previousVersion: number | undefined) => void;
 }): ActiveConfiguration {
   const waiters = new Set<() => void>();
   let configuration: GatewayConfiguration | undefined;
@@ -65,10 +65,10 @@
         const wake = () => {
           if (getVersion() >= minimumVersion) settle(true);
         };
-        function settle(isInForce: boolean): void {
+        function settle(isActive: boolean): void {
           cancelTimer?.();
           waiters.delete(wake);
-          resolve(isInForce);
+          resolve(isActive);
         }
         waiters.add(wake);
         cancelTimer = clock.after(milliseconds, () => settle(false));
--- a/packages/gateway/src/lib/configuration/gatewayConfiguration.ts
+++ b/packages/gateway/src/lib/configuration/gatewayConfiguration.ts
@@ -5,7 +5,7 @@
   group: z.string(),
   /** Consistency guarantee of reads. */
   consistency: z.enum(['primary', 'boundedStaleness', 'readYourWrites']),
-  /** Age of other sessions' commits beyond which reads must see them; 0 for `primary`. */
+  /** Reads must include commits of other sessions older than this many ms; 0 for `primary`. */
   maximumStaleness: z.number(),
   /** Time limit of one statement. */
   timeout: z.number(),
--- a/packages/gateway/src/lib/createGateway.ts
+++ b/packages/gateway/src/lib/createGateway.ts
@@ -22,11 +22,14 @@
 import { createCallerSession } from './sessions/callerSession';
 import type { AnswerSample, CallerSession } from './sessions/callerSession';
 
-/** Shutdown and directory timeouts, in milliseconds. @public */
+/** Grace periods of shutdowns, directory outages and leaving members, in milliseconds. @public */
 export interface GatewayTimes {
   /** Time between the request to stop and the forced end of the process. */
   stopGrace: number;
-  /** Time after a directory outage in which lapsed entries are expected to be listed again. */
+  /**
+   * Time for which a member is kept after its entry is missing from the directory; covers the
+   * return of lapsed entries after an outage.
+   */
   missingGrace: number;
   /** Time after which a leaving member must not receive new statements. */
   leavingBound: number;
@@ -59,8 +62,9 @@
   /** Whether the instance can accept new callers. */
   isReady: () => boolean;
   /**
-   * Ends each session once it has no open transaction; aborts transactions late in the stop grace.
-   * Resolves once all sessions have ended, or shortly before the grace ends.
+   * Ends each session once it has no open transaction. Aborts the transactions that are still open
+   * after 55 % of the stop grace period. Resolves once all sessions and relayed statements have
+   * ended, or shortly before the period ends.
    *
    * @param stopAccepting - called once the load balancer no longer sends new callers.
    */
@@ -73,20 +77,20 @@
 /** Covers two failed health checks; a session ended earlier would reconnect to this instance. */
 const LOAD_BALANCER_DELAY_MILLISECONDS = 2_200;
 
-/** Fraction of the grace after which open transactions are aborted. */
-const TRANSACTION_GRACE_SHARE = 0.55;
+/** Fraction of the stop grace period after which open transactions are aborted. */
+const TRANSACTION_ABORT_GRACE_FRACTION = 0.55;
 
-/** Fraction of the grace after which draining ends, even if statements are still running. */
-const DRAIN_GRACE_SHARE = 0.95;
+/** Fraction of the stop grace period after which draining ends, even with statements running. */
+const DRAIN_END_GRACE_FRACTION = 0.95;
 
 const DRAIN_POLL_INTERVAL_MILLISECONDS = 50;
 
 /** Time after a statement in which directory changes are requested promptly. */
-const PROMPT_DIRECTORY_MILLISECONDS = 30_000;
+const PROMPT_DIRECTORY_DURATION_MILLISECONDS = 30_000;
 
 /** Limit of the wait for a fresh directory; after it, statements run with the cached entries. */
-const FRESH_TIMEOUT_MILLISECONDS = 600;
-const FRESH_POLL_MILLISECONDS = 20;
+const REFRESH_TIMEOUT_MILLISECONDS = 600;
+const REFRESH_POLL_MILLISECONDS = 20;
 
 const CLOCK_CHECK_INTERVAL_MILLISECONDS = 250;
 
@@ -96,14 +100,16 @@
 /** Creates the gateway of one instance and starts following its platform services. @public */
 export function createGateway(options: GatewayOptions): Gateway {
   const { clock, logger, registry, times, transport } = options;
-  const groups = new Map<string, GroupTask>();
-  const groupAccesses = new Map<string, GroupAccess>();
+  /** Run statements over this instance's own connections. */
+  const localGroups = new Map<string, GroupTask>();
+  /** Relay statements to the holders of a group's connections. */
+  const relayedGroups = new Map<string, GroupAccess>();
   const sessions = new Set<CallerSession>();
   const configuration = createActiveConfiguration({
     clock,
     onAdopted: handleConfigurationChange,
   });
-  const members = createDirectoryCache(clock);
+  const cache = createDirectoryCache(clock);
   let directoryNeededUntil = -Infinity;
   let isDraining = false;
   let clockOffset = getClockOffset(clock);
@@ -115,7 +121,7 @@
     configuration,
     findGroup: (group) => {
       checkClockDrift();
-      return groups.get(group);
+      return localGroups.get(group);
     },
     refreshDirectory,
     clock,
@@ -132,36 +138,39 @@
   options.configuration.follow(configuration.adopt);
   options.directory.follow({
     onChange: (entries, age) => {
-      members.update(entries, age);
-      for (const [group, task] of groups) task.updateMembers(members.getEntries(group));
+      cache.update(entries, age);
+      for (const [group, task] of localGroups) task.updateMembers(cache.getEntries(group));
     },
     // An instance that sends no statements to members can use delayed directory reads.
-    isPrompt: () => groups.size === 0 || isDirectoryNeeded(),
+    isPrompt: () => localGroups.size === 0 || isDirectoryNeeded(),
   });
 
   function isDirectoryNeeded(): boolean {
-    return clock.now() < directoryNeededUntil || [...groups.keys()].some(holders.isHolder);
+    return clock.now() < directoryNeededUntil || [...localGroups.keys()].some(holders.isHolder);
   }
 
   /**
    * Waits for a fresh directory. A cached one may be seconds old and list a member as available
-   * after its leaving bound.
+   * after its leaving grace period.
    */
   async function refreshDirectory(): Promise<void> {
-    directoryNeededUntil = clock.now() + PROMPT_DIRECTORY_MILLISECONDS;
-    const until = clock.now() + FRESH_TIMEOUT_MILLISECONDS;
-    while (!members.isFresh() && clock.now() < until) await clock.pause(FRESH_POLL_MILLISECONDS);
+    directoryNeededUntil = clock.now() + PROMPT_DIRECTORY_DURATION_MILLISECONDS;
+    const until = clock.now() + REFRESH_TIMEOUT_MILLISECONDS;
+    while (!cache.isFresh() && clock.now() < until) await clock.pause(REFRESH_POLL_MILLISECONDS);
   }
 
-  function handleConfigurationChange(next: GatewayConfiguration, former: number | undefined): void {
+  function handleConfigurationChange(
+    next: GatewayConfiguration,
+    previousVersion: number | undefined,
+  ): void {
     logger.info('configurationAdopted', {
       version: next.version,
-      former,
+      former: previousVersion,
       routes: next.routes.size,
     });
     for (const limits of next.groups.values()) {
       holders.updateLimits(limits.name, limits.maximumConnections);
-      const task = groups.get(limits.name);
+      const task = localGroups.get(limits.name);
       if (task) task.updateLimits(limits);
       else openGroup(limits.name, limits);
     }
@@ -179,7 +188,7 @@
       missingGrace: times.missingGrace,
       leavingBound: times.leavingBound,
     });
-    groups.set(group, task);
+    localGroups.set(group, task);
     const access = createRelayedGroup({
       group,
       local: task,
@@ -190,8 +199,8 @@
       random: options.random,
       logger,
     });
-    groupAccesses.set(group, access);
-    if (members.isRead()) task.updateMembers(members.getEntries(group));
+    relayedGroups.set(group, access);
+    if (cache.isLoaded()) task.updateMembers(cache.getEntries(group));
   }
 
   /**
@@ -204,7 +213,7 @@
     clockOffset = currentOffset;
     if (change < CLOCK_DRIFT_THRESHOLD_MILLISECONDS) return;
     logger.warn('clocksDisagree', { changeMilliseconds: Math.round(change) });
-    for (const task of groups.values()) task.forgetAges();
+    for (const task of localGroups.values()) task.forgetAges();
   }
 
   const acceptCaller: CallerAcceptor = (link) => {
@@ -215,7 +224,7 @@
       configuration,
       findGroup: (group) => {
         checkClockDrift();
-        return groupAccesses.get(group);
+        return relayedGroups.get(group);
       },
       onEnd: () => sessions.delete(session),
       onAnswered: options.onAnswered,
@@ -225,8 +234,8 @@
   };
 
   function isReady(): boolean {
-    if (isDraining || !configuration.get() || !members.isRead() || !holders.isReady()) return false;
-    return [...groups.values()].some((task) => task.isUsable());
+    if (isDraining || !configuration.get() || !cache.isLoaded() || !holders.isReady()) return false;
+    return [...localGroups.values()].some((task) => task.isUsable());
   }
 
   async function drain(stopAccepting: () => void): Promise<void> {
@@ -237,13 +246,13 @@
     relay.announceDrain();
     let isAccepting = true;
     const hasWork = () => isAccepting || sessions.size > 0 || relay.countActiveWork() > 0;
-    while (elapsed() < times.stopGrace * DRAIN_GRACE_SHARE && hasWork()) {
+    while (elapsed() < times.stopGrace * DRAIN_END_GRACE_FRACTION && hasWork()) {
       if (elapsed() >= LOAD_BALANCER_DELAY_MILLISECONDS) {
         if (isAccepting) stopAccepting();
         isAccepting = false;
         for (const session of [...sessions]) session.drain();
       }
-      if (elapsed() >= times.stopGrace * TRANSACTION_GRACE_SHARE) {
+      if (elapsed() >= times.stopGrace * TRANSACTION_ABORT_GRACE_FRACTION) {
         for (const session of [...sessions]) session.abortTransaction();
         relay.abortTransactions();
       }
@@ -256,13 +265,14 @@
     acceptCaller,
     isReady,
     drain,
-    counters: () => Object.fromEntries([...groups].map(([group, task]) => [group, task.counters])),
+    counters: () =>
+      Object.fromEntries([...localGroups].map(([group, task]) => [group, task.counters])),
     sessionCount: () => sessions.size,
     close: () => {
       stopClockChecks();
       holders.close();
       transport.close();
-      for (const task of groups.values()) task.close();
+      for (const task of localGroups.values()) task.close();
     },
   };
 }
--- a/packages/gateway/src/lib/directory/directoryBook.ts
+++ b/packages/gateway/src/lib/directory/directoryBook.ts
@@ -14,7 +14,7 @@
   update: (entries: readonly DirectoryEntry[], age: DirectoryAge) => void;
   getEntries: (group: string) => KnownEntry[];
   /** Whether the directory has been read at least once. */
-  isRead: () => boolean;
+  isLoaded: () => boolean;
   /** Whether the last read included every change accepted before it. */
   isFresh: () => boolean;
 }
@@ -25,7 +25,7 @@
 export function createDirectoryCache(clock: Clock): DirectoryCache {
   const lastEntries = new Map<string, { entry: KnownEntry; listedAt: number }>();
   let listedEntries: KnownEntry[] = [];
-  let isRead = false;
+  let isLoaded = false;
   let isFresh = false;
 
   function recordEntry(entry: DirectoryEntry, newSince: ClockReadings | undefined): KnownEntry {
@@ -57,11 +57,11 @@
     update: (entries, age) => {
       listedEntries = entries.map((entry) => recordEntry(entry, age.newSince));
       evictExpiredEntries();
-      isRead = true;
+      isLoaded = true;
       isFresh = age.isFresh;
     },
     getEntries: (group) => listedEntries.filter((entry) => entry.group === group),
-    isRead: () => isRead,
+    isLoaded: () => isLoaded,
     isFresh: () => isFresh,
   };
 }
--- a/packages/gateway/src/lib/ports/callerPort.ts
+++ b/packages/gateway/src/lib/ports/callerPort.ts
@@ -1,6 +1,6 @@
 import type { CallerStatement, FailureReason, TransactionState } from '@wisterialift/pooling';
 
-/** Answer to one statement; `signature` proves which database ran it. @public */
+/** Answer to one statement; `signature` is the one returned by the member that ran it. @public */
 export type CallerAnswer = { transaction: TransactionState } & (
   | { outcome: 'completed'; rows: string[]; signature?: string }
   | { outcome: 'refused'; reason: FailureReason; detail: string }
--- a/packages/gateway/src/lib/ports/platformPort.ts
+++ b/packages/gateway/src/lib/ports/platformPort.ts
@@ -22,7 +22,7 @@
 export interface DirectoryAge {
   /** Whether it includes every change accepted before the read; if not, it may be seconds old. */
   isFresh: boolean;
-  /** Changes new in this snapshot were accepted after this time; undefined until one was fresh. */
+  /** Changes new in this snapshot were accepted after this time; undefined if none has been fresh. */
   newSince: ClockReadings | undefined;
 }
 
@@ -78,6 +78,7 @@
   promote: (order: {
     group: string;
     memberId: string;
+    /** Instance that holds the promotion claim. */
     holder: string;
     token: number;
     timeoutMilliseconds: number;
--- a/packages/gateway/src/lib/promotion/promotionTask.ts
+++ b/packages/gateway/src/lib/promotion/promotionTask.ts
@@ -15,7 +15,10 @@
 
 /** Replaces a primary that is unresponsive, unreachable or leaving. */
 export interface PromotionTask {
-  /** Verifies a suspected primary failure; ignored during and shortly after a verification. */
+  /**
+   * Checks a suspected primary failure and promotes a replica if it is confirmed. Ignored while a
+   * check or promotion runs and for `RETRY_DELAY_MILLISECONDS` after it.
+   */
   suspect: (cause: SuspicionCause, member: Member | undefined) => void;
   /** Starts a promotion check if the directory lists no primary or a replaceable leaving one. */
   reviewDirectory: () => void;
@@ -40,7 +43,7 @@
 const PROMOTION_ORDER_TIMEOUT_MILLISECONDS = 400;
 
 /** Interval between two status queries that detect whether replicas still receive log entries. */
-const REPLICATION_CHECK_MILLISECONDS = 250;
+const REPLICATION_CHECK_INTERVAL_MILLISECONDS = 250;
 
 /** Time without any answer after which the primary may be suspected. */
 const PRIMARY_SILENCE_THRESHOLD_MILLISECONDS = 600;
@@ -58,7 +61,7 @@
 const MAXIMUM_START_JITTER_MILLISECONDS = 120;
 
 /** Time for a promoted member to become primary before its status is queried. */
-const TAKEOVER_WAIT_MILLISECONDS = 1_300;
+const PROMOTION_WAIT_MILLISECONDS = 1_300;
 
 /** Time after which a promotion that has not taken effect may be repeated. */
 const PROMOTION_TIMEOUT_MILLISECONDS = 3_000;
@@ -103,15 +106,15 @@
     try {
       await clock.pause(options.random() * MAXIMUM_START_JITTER_MILLISECONDS);
       logger.warn('primarySuspected', { group, cause, memberId: member?.entry.memberId });
-      if (await canSkipPromotion(cause, member)) return;
+      if (await isPromotionRuledOut(cause, member)) return;
       await promote(cause, member);
     } catch (error) {
       logger.error('promotionFailed', { group, cause, error: error as Error });
     }
   }
 
-  /** Returns whether a primary is healthy or a replica unresponsive, so that none is promoted. */
-  async function canSkipPromotion(
+  /** Whether no replica may be promoted: a primary is healthy, or a replica does not answer. */
+  async function isPromotionRuledOut(
     cause: SuspicionCause,
     member: Member | undefined,
   ): Promise<boolean> {
@@ -129,7 +132,7 @@
       return true;
     }
     if (cause === 'leaving') return !hasResponseFromEveryReplica(before);
-    await clock.pause(REPLICATION_CHECK_MILLISECONDS);
+    await clock.pause(REPLICATION_CHECK_INTERVAL_MILLISECONDS);
     const after = await queryMembers(member);
     if (hasReplicationAdvanced(before, after)) {
       logger.info('primaryCleared', { group, cause, detail: 'replicas still receive its log' });
@@ -333,7 +336,7 @@
     while (clock.now() - startedAt < PROMOTION_TIMEOUT_MILLISECONDS) {
       const promotedMember = members.get(memberId);
       if (!promotedMember || belief.find() === promotedMember) break;
-      await belief.waitForChange(TAKEOVER_WAIT_MILLISECONDS);
+      await belief.waitForChange(PROMOTION_WAIT_MILLISECONDS);
       if (belief.find() !== promotedMember) {
         await askMember(
           context,
--- a/packages/gateway/src/lib/relay/holderSelector.ts
+++ b/packages/gateway/src/lib/relay/holderSelector.ts
@@ -7,9 +7,12 @@
 import { createPeerLink } from './peerLink';
 import type { PeerLink } from './peerLink';
 
-/** Selects the instances that hold connections to a group's members and links to them. */
+/**
+ * Selects the holders of a group, the instances that connect to its members, and opens links to
+ * them for relaying.
+ */
 export interface HolderSelector {
-  /** Returns the link to the instance for a statement; undefined means this instance. */
+  /** Returns the link for relaying a statement; undefined if this instance runs it. */
   selectLink: (group: string) => PeerLink | undefined;
   /** Whether this instance holds connections to the group's members. */
   isHolder: (group: string) => boolean;
@@ -75,7 +78,10 @@
     if ([...limits.keys()].some((group) => getPlan(group).type === 'holders')) onHoldersAssigned();
   }
 
-  /** Reconnects to a lost instance in the background, so that no statement waits for it. */
+  /**
+   * Whether an instance can run statements. Once the reconnect delay of a lost instance has passed,
+   * opens a new link, but returns false until its stream is open, so that no statement waits for it.
+   */
   const isReachable = (name: string) => {
     if (name === instance) return true;
     const peer = peers.get(name);
@@ -84,7 +90,7 @@
     return openLink(peer).isOpen();
   };
 
-  /** Selects the first reachable holders in plan order, skipping unreachable ones. */
+  /** Selects reachable holders of this data centre, or of the others if there are none. */
   function selectHolders(plan: HolderPlan & { type: 'holders' }): string[] {
     const near = plan.near.filter(isReachable).slice(0, plan.nearCount);
     return near.length > 0 ? near : plan.far.filter(isReachable);
@@ -154,7 +160,7 @@
       return plan.type === 'everyone' || selectHolders(plan).includes(instance);
     },
     countConnectedInstances: (group) => {
-      // An unknown number of instances leaves a fair share of one connection.
+      // Infinity limits the fair share to one connection until the instances are known.
       if (!instances) return Infinity;
       const plan = getPlan(group);
       return plan.type === 'everyone' ? instances.length : plan.nearCount + plan.far.length;
--- a/packages/gateway/src/lib/relay/peerLink.ts
+++ b/packages/gateway/src/lib/relay/peerLink.ts
@@ -35,7 +35,7 @@
   onLost: (error: Error) => void;
 }
 
-/** Shorter than the 1 s retransmission after packet loss; other instances answer sooner. */
+/** Expires before the 1 s retransmission of a lost packet: another instance answers sooner. */
 const OPEN_TIMEOUT_MILLISECONDS = 500;
 
 const LIVENESS_CHECK_INTERVAL_MILLISECONDS = 100;
@@ -49,7 +49,7 @@
 /** Delay of a check that indicates a stall of this process instead of the remote instance. */
 const LOCAL_STALL_THRESHOLD_MILLISECONDS = 150;
 
-type LinkState = 'opening' | 'open' | 'leaving' | 'lost';
+type LinkState = 'opening' | 'open' | 'draining' | 'lost';
 
 interface PendingRequest {
   settle: (outcome: RelayOutcome) => void;
@@ -84,7 +84,7 @@
       finishOpening('open');
       onOpen();
     }
-    if (isLeaving) state = 'leaving';
+    if (isLeaving) state = 'draining';
     if (number > 0) settleRequest(number, { type: 'answered', response });
   }
 
--- a/packages/gateway/src/lib/relay/relayService.ts
+++ b/packages/gateway/src/lib/relay/relayService.ts
@@ -31,7 +31,7 @@
   configuration: ActiveConfiguration;
   /** Returns the access to a group over this instance's own connections. */
   findGroup: (group: string) => GroupAccess | undefined;
-  /** Resolves once the directory is fresh, or after a timeout without a store answer. */
+  /** Resolves once the directory is fresh, or after a timeout. */
   refreshDirectory: () => Promise<void>;
   clock: Clock;
   logger: Logger;
@@ -61,22 +61,22 @@
   const { configuration, findGroup, refreshDirectory, clock, logger } = options;
   const streams = new Map<Respond, StreamTransactions>();
   let runningStatements = 0;
-  let isLeaving = false;
+  let isDraining = false;
 
   const handlers: Record<RelayAction, Handler> = {
     read: ({ request, task }) => task.read(request),
     write: ({ request, task }) => task.write(request),
-    run: async (step) => {
-      const found = await findTransaction(step);
+    run: async (input) => {
+      const found = await findOrBeginTransaction(input);
       if ('refusal' in found) return found.refusal;
-      const answer = await found.transaction.run(step.request);
-      if (answer.transaction !== 'open') rollBack(step.transactions, step.statement.transaction);
+      const answer = await found.transaction.run(input.request);
+      if (answer.transaction !== 'open') rollBack(input.transactions, input.statement.transaction);
       return answer;
     },
-    commit: async (step) => {
-      const found = await findTransaction(step);
-      step.transactions.delete(step.statement.transaction);
-      return 'refusal' in found ? found.refusal : found.transaction.commit(step.request);
+    commit: async (input) => {
+      const found = await findOrBeginTransaction(input);
+      input.transactions.delete(input.statement.transaction);
+      return 'refusal' in found ? found.refusal : found.transaction.commit(input.request);
     },
   };
 
@@ -89,7 +89,7 @@
   }
 
   /** Returns the transaction of a statement; begins it on the first statement. */
-  async function findTransaction({
+  async function findOrBeginTransaction({
     statement,
     request,
     task,
@@ -197,7 +197,14 @@
     content: Partial<Pick<RelayResponse, 'answer' | 'configurationJson'>> = {},
   ): RelayResponse {
     const version = Math.max(0, configuration.getVersion());
-    return { number, isLeaving, version, answer: undefined, configurationJson: '', ...content };
+    return {
+      number,
+      isLeaving: isDraining,
+      version,
+      answer: undefined,
+      configurationJson: '',
+      ...content,
+    };
   }
 
   const accept: RelayAcceptor = (respond) => {
@@ -220,7 +227,7 @@
   return {
     accept,
     announceDrain: () => {
-      isLeaving = true;
+      isDraining = true;
       for (const respond of streams.keys()) respond(createResponse(0));
     },
     abortTransactions: () => {
--- a/packages/gateway/src/lib/relay/relayedGroup.ts
+++ b/packages/gateway/src/lib/relay/relayedGroup.ts
@@ -22,7 +22,7 @@
   local: GroupTask;
   holders: HolderSelector;
   configuration: ActiveConfiguration;
-  /** Resolves once the directory is fresh, or after a timeout without a store answer. */
+  /** Resolves once the directory is fresh, or after a timeout. */
   refreshDirectory: () => Promise<void>;
   clock: Clock;
   /** Returns a uniform number in [0, 1). */
--- a/packages/gateway/src/lib/sessions/callerSession.ts
+++ b/packages/gateway/src/lib/sessions/callerSession.ts
@@ -226,8 +226,8 @@
     prepared?: StatementRequest['prepared'],
   ): Promise<CallerAnswer> {
     const request = createRequest(statement, open, prepared);
-    const opened = await openUpstreamTransaction(open, request);
-    if (opened) return failTransaction(open, opened);
+    const refusal = await openUpstreamTransaction(open, request);
+    if (refusal) return failTransaction(open, refusal);
     const answer = await open.upstream!.run(request);
     if (answer.transaction !== 'open') return failTransaction(open, answer);
     return toCallerAnswer(answer, 'open');
@@ -261,8 +261,8 @@
       return createRefusal('aborted', 'the transaction had failed and was rolled back');
     }
     const request = createRequest(statement, open);
-    const refused = await openUpstreamTransaction(open, request);
-    const answer = refused ?? (await open.upstream!.commit(request));
+    const refusal = await openUpstreamTransaction(open, request);
+    const answer = refusal ?? (await open.upstream!.commit(request));
     transaction = undefined;
     return toCallerAnswer(answer, 'idle');
   }
--- a/packages/gateway/src/test/leavingMember.test.ts
+++ b/packages/gateway/src/test/leavingMember.test.ts
@@ -4,13 +4,17 @@
 
 type TestGateway = ReturnType<typeof startTestGateway>;
 
-/** Leaving bound of the fixture, and the part of it reserved for the network. */
-const LEAVING_BOUND_MILLISECONDS = 7_000;
+/** Leaving grace period of the fixture, and the part of it reserved for the network. */
+const LEAVING_GRACE_PERIOD_MILLISECONDS = 7_000;
 const TRANSIT_RESERVE_MILLISECONDS = 500;
 
-const stayingMember = createDirectoryEntry();
-const leavingMember = createDirectoryEntry({ isLeaving: true, revision: 2 });
-const successor = createDirectoryEntry({ memberId: 'db-2', address: 'db-2:1', isPrimary: false });
+const availableEntry = createDirectoryEntry();
+const leavingEntry = createDirectoryEntry({ isLeaving: true, revision: 2 });
+const successorEntry = createDirectoryEntry({
+  memberId: 'db-2',
+  address: 'db-2:1',
+  isPrimary: false,
+});
 
 let gateway: TestGateway;
 
@@ -29,11 +33,11 @@
 });
 
 describe('a leaving member', () => {
-  it('receives new statements until its bound minus the transit reserve', async () => {
-    gateway.updateMembers([stayingMember]);
-    gateway.updateMembers([leavingMember], createProcessClock().readings());
+  it('receives new statements until its grace period minus the transit reserve', async () => {
+    gateway.updateMembers([availableEntry]);
+    gateway.updateMembers([leavingEntry], createProcessClock().readings());
     await vi.advanceTimersByTimeAsync(
-      LEAVING_BOUND_MILLISECONDS - TRANSIT_RESERVE_MILLISECONDS - 50,
+      LEAVING_GRACE_PERIOD_MILLISECONDS - TRANSIT_RESERVE_MILLISECONDS - 50,
     );
     gateway.openSession().read('in-time');
     await settle();
@@ -44,9 +48,9 @@
     expect(gateway.getForwardedIds('db-1')).toEqual(['in-time']);
   });
 
-  it('receives no statement queued before its bound and dequeued after it', async () => {
-    // Guards against checking the bound only at member selection, before the queue.
-    gateway.updateMembers([stayingMember]);
+  it('receives no statement queued before the end of its grace period and dequeued after it', async () => {
+    // Guards against checking the grace period only at member selection, before the queue.
+    gateway.updateMembers([availableEntry]);
     const first = gateway.openSession();
     const [second, waiting] = [gateway.openSession(), gateway.openSession()];
     first.read('first');
@@ -54,36 +58,36 @@
     await settle();
     waiting.read('waiting');
     await settle();
-    gateway.updateMembers([leavingMember]);
+    gateway.updateMembers([leavingEntry]);
     for (const { answer } of gateway.forwarded) answer();
     await settle();
     expect(gateway.getForwardedIds('db-1')).toEqual(['first', 'second']);
     expect(waiting.answers).toMatchObject([{ outcome: 'refused', reason: 'busy' }]);
   });
 
-  it('receives no statement whose connection setup ends after the bound', async () => {
-    // Guards against checking the bound before the session values are set on the connection.
-    gateway.updateMembers([stayingMember]);
+  it('receives no statement whose connection setup ends after the grace period', async () => {
+    // Guards against checking the grace period before the session values are set on the connection.
+    gateway.updateMembers([availableEntry]);
     gateway.holdAnswers('set');
     const session = gateway.openSession();
     session.set();
     session.read('after-set');
     await settle();
-    gateway.updateMembers([leavingMember]);
+    gateway.updateMembers([leavingEntry]);
     gateway.releaseAnswers();
     await settle();
     expect(gateway.forwarded).toEqual([]);
   });
 
-  it('receives no first statement of a transaction that began before the bound', async () => {
+  it('receives no first statement of a transaction that began before the end of the grace period', async () => {
     // Guards against treating the first statement as part of a transaction in progress.
-    gateway.updateMembers([stayingMember]);
+    gateway.updateMembers([availableEntry]);
     gateway.holdAnswers('begin');
     const session = gateway.openSession();
     session.begin();
     session.read('first-of-transaction');
     await settle();
-    gateway.updateMembers([leavingMember]);
+    gateway.updateMembers([leavingEntry]);
     gateway.releaseAnswers();
     await settle();
     expect(gateway.forwarded).toEqual([]);
@@ -91,13 +95,13 @@
   });
 
   it('continues a transaction in progress', async () => {
-    gateway.updateMembers([stayingMember]);
+    gateway.updateMembers([availableEntry]);
     const session = gateway.openSession();
     session.begin();
     session.read('one');
     await settle();
     gateway.forwarded[0]!.answer();
-    gateway.updateMembers([leavingMember]);
+    gateway.updateMembers([leavingEntry]);
     session.write('two');
     await settle();
     expect(gateway.getForwardedIds('db-1')).toEqual(['one', 'two']);
@@ -107,8 +111,8 @@
     'refuses a %s immediately with a retry time if no other member exists',
     async (type) => {
       // Guards against waiting until the deadline for a successor that cannot exist.
-      gateway.updateMembers([stayingMember]);
-      gateway.updateMembers([leavingMember]);
+      gateway.updateMembers([availableEntry]);
+      gateway.updateMembers([leavingEntry]);
       const session = gateway.openSession();
       session[type]('refused');
       await settle();
@@ -124,46 +128,46 @@
 
   it('causes no promotion claim while no candidate exists', async () => {
     // Guards against repeated store calls for as long as the member is leaving.
-    gateway.updateMembers([stayingMember]);
-    gateway.updateMembers([leavingMember], createProcessClock().readings());
+    gateway.updateMembers([availableEntry]);
+    gateway.updateMembers([leavingEntry], createProcessClock().readings());
     await vi.advanceTimersByTimeAsync(5_000);
     expect(gateway.events.filter((event) => event === 'dutyClaimed')).toEqual([]);
-    gateway.updateMembers([leavingMember, successor], createProcessClock().readings());
+    gateway.updateMembers([leavingEntry, successorEntry], createProcessClock().readings());
     await vi.advanceTimersByTimeAsync(2_000);
     expect(gateway.events).toContain('dutyClaimed');
   });
 
   it('is bypassed by a write, which waits for the successor', async () => {
     // Guards against refusing writes while a promotion is in progress.
-    gateway.updateMembers([stayingMember, successor]);
-    gateway.updateMembers([leavingMember, successor]);
+    gateway.updateMembers([availableEntry, successorEntry]);
+    gateway.updateMembers([leavingEntry, successorEntry]);
     const session = gateway.openSession();
     session.write('write');
     await vi.advanceTimersByTimeAsync(800);
     expect(session.answers).toEqual([]);
-    gateway.updateMembers([leavingMember, { ...successor, isPrimary: true, revision: 3 }]);
+    gateway.updateMembers([leavingEntry, { ...successorEntry, isPrimary: true, revision: 3 }]);
     await vi.advanceTimersByTimeAsync(1_500);
     expect(gateway.getForwardedIds('db-1')).toEqual([]);
     expect(gateway.getForwardedIds('db-2')).toEqual(['write']);
   });
 
-  it('receives no statement after its bound if the monotonic clock stops meanwhile', async () => {
+  it('receives no statement after its grace period if the monotonic clock stops meanwhile', async () => {
     // Guards against a suspended machine, whose monotonic clock does not count the suspension.
-    gateway.updateMembers([stayingMember]);
-    gateway.updateMembers([leavingMember], createProcessClock().readings());
-    vi.setSystemTime(Date.now() + LEAVING_BOUND_MILLISECONDS);
+    gateway.updateMembers([availableEntry]);
+    gateway.updateMembers([leavingEntry], createProcessClock().readings());
+    vi.setSystemTime(Date.now() + LEAVING_GRACE_PERIOD_MILLISECONDS);
     gateway.openSession().read('after-suspension');
     await settle();
     expect(gateway.forwarded).toEqual([]);
   });
 
   it('keeps its first leaving time if its entry lapses and returns', async () => {
-    // Guards against restarting the bound whenever the entry returns.
-    gateway.updateMembers([stayingMember]);
-    gateway.updateMembers([leavingMember], createProcessClock().readings());
-    await vi.advanceTimersByTimeAsync(LEAVING_BOUND_MILLISECONDS);
+    // Guards against restarting the grace period whenever the entry returns.
+    gateway.updateMembers([availableEntry]);
+    gateway.updateMembers([leavingEntry], createProcessClock().readings());
+    await vi.advanceTimersByTimeAsync(LEAVING_GRACE_PERIOD_MILLISECONDS);
     gateway.updateMembers([]);
-    gateway.updateMembers([{ ...leavingMember, revision: 4 }], createProcessClock().readings());
+    gateway.updateMembers([{ ...leavingEntry, revision: 4 }], createProcessClock().readings());
     gateway.openSession().read('after-return');
     await settle();
     expect(gateway.forwarded).toEqual([]);
@@ -171,14 +175,14 @@
 
   it('is not used by an instance that finds it leaving at startup', async () => {
     // Guards against counting from the first directory read; it may have been leaving earlier.
-    gateway.updateMembers([leavingMember]);
+    gateway.updateMembers([leavingEntry]);
     gateway.openSession().read('at-start');
     await settle();
     expect(gateway.forwarded).toEqual([]);
   });
 
   it('is used again after a restart under the same id', async () => {
-    gateway.updateMembers([leavingMember]);
+    gateway.updateMembers([leavingEntry]);
     gateway.updateMembers([createDirectoryEntry({ startedAt: 2, revision: 3 })]);
     gateway.openSession().read('after-restart');
     await settle();
--- a/packages/gateway/src/test/relayVersions.test.ts
+++ b/packages/gateway/src/test/relayVersions.test.ts
@@ -59,9 +59,9 @@
   let group: GroupTask | undefined = createGroup(executedVersions);
   const local = createGroup(executedVersions, () => executionOrder.push('executed'));
   let isLost = false;
-  const activeConfiguration = createActiveConfiguration({ clock, onAdopted: noop });
+  const relayConfiguration = createActiveConfiguration({ clock, onAdopted: noop });
   const holderConfiguration = createActiveConfiguration({ clock, onAdopted: noop });
-  activeConfiguration.adopt(relayInitialConfiguration);
+  relayConfiguration.adopt(relayInitialConfiguration);
   holderConfiguration.adopt(holderInitialConfiguration);
   const service = createRelayService({
     configuration: holderConfiguration,
@@ -95,7 +95,7 @@
       updateLimits: noop,
       close: noop,
     },
-    configuration: activeConfiguration,
+    configuration: relayConfiguration,
     refreshDirectory: async () => {
       executionOrder.push('refreshed');
     },
@@ -106,7 +106,7 @@
     executedVersions,
     executionOrder,
     relayed,
-    activeConfiguration,
+    relayConfiguration,
     holderConfiguration,
     removeGroup: () => {
       group = undefined;
@@ -129,11 +129,11 @@
   // Guards against an instance cut off from the store that applies the new version to a relayed
   // statement and then the old one to its own caller, who finds a dropped database again.
   it('both use the newer version of the relaying instance', async () => {
-    const { executedVersions, relayed, activeConfiguration, holderConfiguration } = createPair(
+    const { executedVersions, relayed, relayConfiguration, holderConfiguration } = createPair(
       createConfiguration(10, GROUP),
       createConfiguration(4, 'group-2'),
     );
-    expect(await relayed.read(createRequest(activeConfiguration))).toMatchObject({
+    expect(await relayed.read(createRequest(relayConfiguration))).toMatchObject({
       outcome: 'completed',
     });
     expect(executedVersions).toEqual([10]);
@@ -144,27 +144,27 @@
   });
 
   it('both use the newer version of the holder', async () => {
-    const { executedVersions, relayed, activeConfiguration } = createPair(
+    const { executedVersions, relayed, relayConfiguration } = createPair(
       createConfiguration(4, GROUP),
       createConfiguration(10, GROUP),
     );
-    expect(await relayed.read(createRequest(activeConfiguration))).toMatchObject({
+    expect(await relayed.read(createRequest(relayConfiguration))).toMatchObject({
       outcome: 'completed',
     });
     expect(executedVersions).toEqual([10]);
-    expect(activeConfiguration.getVersion()).toBe(10);
+    expect(relayConfiguration.getVersion()).toBe(10);
   });
 
   it('run no statement on a route that the newer version dropped', async () => {
-    const { executedVersions, relayed, activeConfiguration } = createPair(
+    const { executedVersions, relayed, relayConfiguration } = createPair(
       createConfiguration(4, GROUP),
       createConfiguration(10),
     );
-    expect(await relayed.read(createRequest(activeConfiguration))).toMatchObject({
+    expect(await relayed.read(createRequest(relayConfiguration))).toMatchObject({
       reason: 'unknownDatabase',
     });
     expect(executedVersions).toEqual([]);
-    expect(activeConfiguration.findRoute('history')?.route).toBeUndefined();
+    expect(relayConfiguration.findRoute('history')?.route).toBeUndefined();
   });
 });
 
@@ -172,12 +172,12 @@
   it('is refused immediately as not executed', async () => {
     // Guards against a holder that logs an unknown group without sending an answer.
     const configuration = createConfiguration(4, GROUP);
-    const { executedVersions, relayed, activeConfiguration, removeGroup } = createPair(
+    const { executedVersions, relayed, relayConfiguration, removeGroup } = createPair(
       configuration,
       configuration,
     );
     removeGroup();
-    const request = createRequest(activeConfiguration);
+    const request = createRequest(relayConfiguration);
     const lastCommit = { position: { term: 1, index: 7 }, seenAt: clock.now() };
     request.session.lastCommit = lastCommit;
     expect(await relayed.read(request)).toMatchObject({ reason: 'busy' });
@@ -189,15 +189,15 @@
 
 describe('an instance that runs a statement locally', () => {
   it('refreshes the directory first', async () => {
-    // Guards against sending statements to a member past its leaving bound: an instance without
+    // Guards against sending statements to a member past its leaving grace period: an instance without
     // connections has a directory that may be seconds old.
     const configuration = createConfiguration(4, GROUP);
-    const { executionOrder, relayed, activeConfiguration, disconnectHolder } = createPair(
+    const { executionOrder, relayed, relayConfiguration, disconnectHolder } = createPair(
       configuration,
       configuration,
     );
     disconnectHolder();
-    await relayed.read(createRequest(activeConfiguration));
+    await relayed.read(createRequest(relayConfiguration));
     expect(executionOrder).toEqual(['refreshed', 'executed']);
   });
 });
--- a/packages/gateway/src/test/statementGate.test.ts
+++ b/packages/gateway/src/test/statementGate.test.ts
@@ -28,8 +28,8 @@
   const inTransaction = { priority: -1, hasConnection: true };
 
   it('queues a transaction statement although no connection is free', async () => {
-    // Guards against counting the wait for a free connection: with all connections in use by
-    // transactions, their statements were aborted and the primary was suspected.
+    // Guards against rejecting a statement that already has a connection because of the expected
+    // wait for a free one.
     const gate = createGateWithoutConnections();
     const first = createRequest(inTransaction);
     expect(await gate.enter(first)).toBe('admitted');
--- a/packages/gateway/src/test/suspension.test.ts
+++ b/packages/gateway/src/test/suspension.test.ts
@@ -12,7 +12,7 @@
 });
 
 describe('a holder after a suspension', () => {
-  it('discards position ages before it runs a relayed statement', async () => {
+  it('detects the suspension when a relayed statement arrives', async () => {
     // Guards against stale reads: the monotonic clock stops during a suspension, so old positions
     // look fresh until the clocks are next compared.
     let suspendedMilliseconds = 0;
