--- a/packages/gateway/src/lib/sessions/callerSession.ts
+++ b/packages/gateway/src/lib/sessions/callerSession.ts
@@ -212,7 +212,15 @@
 
   function createRequest(
     { id, text }: CallerStatement,
-    { route, version, task }: { route: Route; version: number; task: GroupAccess },
+    {
+      route,
+      version,
+      task,
+    }: {
+      route: Route;
+      version: number;
+      task: GroupAccess;
+    },
     prepared?: StatementRequest['prepared'],
   ): StatementRequest {
     const deadlineAt = clock.now() + route.timeout;
