--- a/packages/core/src/lib/acknowledgement/confirmationTracker.ts
+++ b/packages/core/src/lib/acknowledgement/confirmationTracker.ts
@@ -2,47 +2,51 @@
 import { isInHistory } from '../engine/history';
 import type { Member, MemberTable } from '../engine/memberTable';
 
-/** A write whose database has answered and whose caller has not been told yet. @internal */
+/** A write that the primary has completed and that is not yet acknowledged to the caller. @internal */
 export interface HeldWrite {
   requestId: string;
-  /** Term of the primary that ran it. */
+  /** Term of the primary that ran the write. */
   term: number;
-  /** Absent where the statement wrote no log entry. */
+  /** Undefined if the statement wrote no log entry. */
   position: Position | undefined;
-  /** Answers count from this question on: they were asked after the write had completed. */
+  /** First status query sent after the write completed; earlier answers do not confirm it. */
   firstQuestionId: number;
   completedAt: number;
 }
 
-/** How a held write ends. @internal */
-export type Settlement = 'confirmed' | 'survived' | 'discarded';
+/**
+ * Outcome of a held write: confirmed by a majority, present in the log of a newer primary, or absent
+ * from it.
+ *
+ * @internal
+ */
+export type HeldWriteOutcome = 'confirmed' | 'survived' | 'discarded';
 
 /** @internal */
 export interface SettledWrite {
   write: HeldWrite;
-  settlement: Settlement;
+  settlement: HeldWriteOutcome;
 }
 
-/** Writes that wait for a majority. @internal */
+/** Tracks writes that wait for confirmation by a majority. @internal */
 export interface ConfirmationTracker {
   hold: (write: HeldWrite) => void;
   remove: (requestId: string) => void;
-  /** Takes out every write that the answers so far settle, in the order of their completion. */
+  /** Removes and returns the writes whose outcome is known, in order of completion. */
   takeSettled: () => SettledWrite[];
   size: () => number;
-  /** The write that has waited longest among those with a log entry. */
+  /** Returns the oldest held write that has a log entry. */
   oldest: () => HeldWrite | undefined;
 }
 
 /**
- * Creates the tracker of held acknowledgements.
+ * Creates the tracker that decides when a write may be acknowledged.
  *
- * Guards against acknowledging a write of a primary that was replaced: it would show as a record that
- * a technician was told is kept and that no later read finds. A write (T, p) is confirmed once a
- * majority answered, to questions asked after it completed, that their term is T and that they hold
- * the log of T through p. A promotion to T' > T needs a majority that recorded T' first; it has a
- * member in common with the confirming one, which answered before it recorded T', so the entry is in
- * the log that T' starts from. No clock and no lease is part of that.
+ * Prevents acknowledging a write of a primary that has been replaced. A write (T, p) is confirmed
+ * once a majority reports, in answers to queries sent after the write completed, term T and a log of
+ * T that reaches p. A promotion to T' > T needs a majority that has recorded T'. The two majorities
+ * share a member that reported before it recorded T', so the log of T' contains the entry. Neither
+ * clocks nor leases are involved.
  *
  * @internal
  */
@@ -52,9 +56,9 @@
   function takeSettled(): SettledWrite[] {
     const settled: SettledWrite[] = [];
     if (held.size === 0) return settled;
-    const successor = findEstablishedPrimary(members);
+    const establishedPrimary = findEstablishedPrimary(members);
     held.forEach((write) => {
-      const settlement = settle(write, members, successor);
+      const settlement = determineOutcome(write, members, establishedPrimary);
       if (settlement) settled.push({ write, settlement });
     });
     settled.forEach(({ write }) => held.delete(write.requestId));
@@ -77,26 +81,26 @@
   };
 }
 
-function settle(
+function determineOutcome(
   write: HeldWrite,
   members: MemberTable,
-  successor: MemberStatus | undefined,
-): Settlement | undefined {
+  establishedPrimary: MemberStatus | undefined,
+): HeldWriteOutcome | undefined {
   if (isConfirmed(write, members)) return 'confirmed';
-  if (!successor || successor.currentTerm <= write.term) return undefined;
-  const hasSurvived = write.position && isInHistory(write.position, successor.termStarts);
+  if (!establishedPrimary || establishedPrimary.currentTerm <= write.term) return undefined;
+  const hasSurvived = write.position && isInHistory(write.position, establishedPrimary.termStarts);
   return hasSurvived ? 'survived' : 'discarded';
 }
 
 function isConfirmed(write: HeldWrite, members: MemberTable): boolean {
-  let confirming = 0;
+  let confirmationCount = 0;
   for (const member of members.list()) {
-    if (confirms(member, write)) confirming += 1;
+    if (hasConfirmed(member, write)) confirmationCount += 1;
   }
-  return confirming >= members.majority();
+  return confirmationCount >= members.majority();
 }
 
-function confirms({ status, statusQuestionId }: Member, write: HeldWrite): boolean {
+function hasConfirmed({ status, statusQuestionId }: Member, write: HeldWrite): boolean {
   if (!status || statusQuestionId < write.firstQuestionId) return false;
   if (status.currentTerm !== write.term) return false;
   if (!write.position) return true;
@@ -104,18 +108,18 @@
 }
 
 /**
- * The primary whose term a majority holds in its log: nothing that it lacks can come back, and
- * nothing that it has can go. Before that a further promotion may still start from another log.
+ * Finds the primary whose term is in the log of a majority; its log is final. Until then a later
+ * promotion can still start from another log.
  */
 function findEstablishedPrimary(members: MemberTable): MemberStatus | undefined {
   const status = members.primary()?.status;
   if (!status) return undefined;
-  const holding = members
+  const membersInTerm = members
     .list()
     .filter(
       (member) =>
         member.status?.currentTerm === status.currentTerm &&
         member.status.logEnd.term === status.currentTerm,
     );
-  return holding.length >= members.majority() ? status : undefined;
+  return membersInTerm.length >= members.majority() ? status : undefined;
 }
