--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -18,7 +18,7 @@
 } from './lib/engine/messages';
 export {
   createAdmissionQueue,
-  type AdmissionOffer,
+  type AdmissionResult,
   type AdmissionQueue,
   type AdmissionQueueOptions,
   type QueuedRequest,
--- a/packages/core/src/lib/admission/admissionQueue.ts
+++ b/packages/core/src/lib/admission/admissionQueue.ts
@@ -1,52 +1,52 @@
 import { createHeap } from './heap';
 import { createServiceEstimate } from './serviceEstimate';
 
-/** What the queue needs to know of a request; times in milliseconds. @public */
+/** Request properties used for scheduling; times in milliseconds. @public */
 export interface QueuedRequest {
   requestId: string;
   caller: string;
-  /** Share of a full queue relative to other callers. */
+  /** Share of the service relative to other callers. */
   weight: number;
-  /** Higher goes first among the requests of one caller. */
+  /** Requests of one caller are taken in descending priority. */
   priority: number;
   deadlineAt: number;
   arrivedAt: number;
 }
 
-/** @public */
-export type AdmissionOffer<T> =
+/** Result of an offer; `evicted` is the queued request that was removed to make room. @public */
+export type AdmissionResult<T> =
   | { accepted: true; evicted?: T; retryAfterMilliseconds?: number }
   | { accepted: false; retryAfterMilliseconds: number };
 
 /** @public */
 export interface AdmissionQueueOptions {
-  /** Requests that may wait at the same time. */
+  /** Maximum number of queued requests. */
   capacity: number;
 }
 
 /** @public */
 export interface AdmissionQueue<T extends QueuedRequest> {
   /**
-   * Puts a request into the queue, or refuses it at once with when to come back. The request that
-   * had to leave for it, if any, is returned as `evicted` and needs its final answer.
+   * Enqueues a request, or rejects it with a retry delay. The caller must send a final answer to an
+   * `evicted` request.
    */
-  offer: (request: T, now: number) => AdmissionOffer<T>;
-  /** Puts a request back that was taken and not run; it is neither refused nor counted again. */
+  offer: (request: T, now: number) => AdmissionResult<T>;
+  /** Requeues a request that was taken but not run, ahead of its caller's requests of equal priority. */
   putBack: (request: T) => void;
   /**
-   * Takes the request to run next. Requests that `isEligible` refuses keep their place; each costs
-   * one call of it.
+   * Removes and returns the next request to run. Requests for which `isEligible` is false keep
+   * their position.
    */
   takeNext: (now: number, isEligible?: (request: T) => boolean) => T | undefined;
-  /** Takes out every request that can no longer be served by its deadline. */
+  /** Removes and returns the requests that can no longer complete by their deadline. */
   expire: (now: number) => T[];
   remove: (requestId: string) => T | undefined;
   length: () => number;
-  /** When `expire` has something to return at the latest; undefined while the queue is empty. */
+  /** Latest time at which `expire` returns a request, in milliseconds; undefined if empty. */
   nextDeadline: () => number | undefined;
-  /** @param milliseconds - service time of a request that was taken before. */
+  /** @param milliseconds - service time of a completed request. */
   recordCompletion: (milliseconds: number, now: number) => void;
-  /** Whole milliseconds after which the present queue should have drained. */
+  /** Estimated time until the queue has drained, in whole milliseconds. */
   retryAfter: (now: number) => number;
 }
 
@@ -59,33 +59,32 @@
 interface CallerQueue<T> {
   caller: string;
   weight: number;
-  /** Virtual time at which the caller's last taken request would have ended at its share. */
-  virtualFinish: number;
+  /** Virtual time at which the caller's last taken request finishes at its share. */
+  virtualFinishTime: number;
   length: number;
-  /** Highest priority first, then oldest first; removed entries leave when they surface. */
-  byService: ReturnType<typeof createHeap<Entry<T>>>;
-  /** Lowest priority first, then newest first. */
-  byEviction: ReturnType<typeof createHeap<Entry<T>>>;
+  /** Highest priority first, then oldest first; may contain removed entries. */
+  byServiceOrder: ReturnType<typeof createHeap<Entry<T>>>;
+  /** Lowest priority first, then newest first; may contain removed entries. */
+  byEvictionOrder: ReturnType<typeof createHeap<Entry<T>>>;
   isScheduled: boolean;
-  /** Breaks ties of virtual time in the order of scheduling. */
-  scheduledSequence: number;
+  /** Breaks ties of virtual finish time in scheduling order. */
+  scheduleSequence: number;
 }
 
 const MINIMUM_RETRY_AFTER_MILLISECONDS = 10;
 const MAXIMUM_RETRY_AFTER_MILLISECONDS = 5_000;
-/** Heaps are rebuilt without removed entries once these outnumber the queued ones by this factor. */
+/** A heap is rebuilt when its size exceeds the number of queued entries by this factor. */
 const COMPACTION_FACTOR = 2;
 const COMPACTION_MINIMUM = 64;
-/** Part of a request's whole time that the service estimate may claim at most. */
-const MAXIMUM_ALLOWANCE_SHARE = 0.5;
+/** Maximum part of a request's time limit reserved for its execution. */
+const MAXIMUM_SERVICE_TIME_FRACTION = 0.5;
 
 /**
- * Creates a bounded queue that is fair between callers and knows deadlines.
+ * Creates a bounded, deadline-aware queue with weighted fair queueing between callers.
  *
- * Callers share the service by weight (start-time fair queueing on virtual time), so that a greedy
- * caller waits behind itself. Priority orders the requests of one caller: kinds are named by the
- * callers themselves, so priority across callers would let one push out its rivals. A full queue
- * takes the place from the caller that holds most for its weight.
+ * Uses start-time fair queueing on virtual time. Priority applies only within a caller, because
+ * callers choose their own request kinds. When the queue is full, a request of the caller with the
+ * most queued requests per weight is evicted.
  *
  * @example
  * ```ts
@@ -103,14 +102,15 @@
   const callers = new Map<string, CallerQueue<T>>();
   const schedule = createHeap<CallerQueue<T>>(
     (left, right) =>
-      left.virtualFinish - right.virtualFinish || left.scheduledSequence - right.scheduledSequence,
+      left.virtualFinishTime - right.virtualFinishTime ||
+      left.scheduleSequence - right.scheduleSequence,
   );
   const deadlines = createHeap<Entry<T>>(
     (left, right) => left.request.deadlineAt - right.request.deadlineAt,
   );
-  let virtualNow = 0;
+  let virtualTime = 0;
   let sequence = 0;
-  let queuedWeight = 0;
+  let activeWeight = 0;
 
   const nextSequence = () => {
     sequence += 1;
@@ -120,15 +120,15 @@
   const createCallerQueue = (request: T): CallerQueue<T> => ({
     caller: request.caller,
     weight: request.weight,
-    virtualFinish: virtualNow,
+    virtualFinishTime: virtualTime,
     length: 0,
-    byService: createHeap<Entry<T>>(compareForService),
-    byEviction: createHeap<Entry<T>>((left, right) => compareForService(right, left)),
+    byServiceOrder: createHeap<Entry<T>>(compareForService),
+    byEvictionOrder: createHeap<Entry<T>>((left, right) => compareForService(right, left)),
     isScheduled: false,
-    scheduledSequence: 0,
+    scheduleSequence: 0,
   });
 
-  const callerQueueOf = (request: T): CallerQueue<T> => {
+  const getOrCreateCallerQueue = (request: T): CallerQueue<T> => {
     const known = callers.get(request.caller);
     if (known) return known;
     const created = createCallerQueue(request);
@@ -140,23 +140,23 @@
     const queue = callers.get(caller)!;
     if (queue.isScheduled) return;
     queue.isScheduled = true;
-    queue.scheduledSequence = nextSequence();
-    // A caller that was away earns nothing for it: else it would hold the service for a long time.
-    queue.virtualFinish = Math.max(queue.virtualFinish, virtualNow);
+    queue.scheduleSequence = nextSequence();
+    // Idle time earns no credit; otherwise a returning caller would monopolize the service.
+    queue.virtualFinishTime = Math.max(queue.virtualFinishTime, virtualTime);
     schedule.push(queue);
   };
 
-  const insert = (request: T, place: number) => {
-    const entry: Entry<T> = { request, sequence: place, isQueued: true };
-    const queue = callerQueueOf(request);
+  const insert = (request: T, entrySequence: number) => {
+    const entry: Entry<T> = { request, sequence: entrySequence, isQueued: true };
+    const queue = getOrCreateCallerQueue(request);
     entries.set(request.requestId, entry);
     if (queue.length === 0) {
       queue.weight = request.weight;
-      queuedWeight += queue.weight;
+      activeWeight += queue.weight;
     }
     queue.length += 1;
-    queue.byService.push(entry);
-    queue.byEviction.push(entry);
+    queue.byServiceOrder.push(entry);
+    queue.byEvictionOrder.push(entry);
     deadlines.push(entry);
     scheduleCaller(queue.caller);
   };
@@ -166,34 +166,34 @@
     if (heap.size() > COMPACTION_FACTOR * queued) heap.retain(({ isQueued }) => isQueued);
   };
 
-  const detach = ({ request: { requestId } }: Entry<T>): T => {
+  const removeEntry = ({ request: { requestId } }: Entry<T>): T => {
     const entry = entries.get(requestId)!;
     const queue = callers.get(entry.request.caller)!;
     entry.isQueued = false;
     entries.delete(requestId);
     queue.length -= 1;
-    if (queue.length === 0) queuedWeight -= queue.weight;
-    compact(queue.byService, queue.length);
-    compact(queue.byEviction, queue.length);
+    if (queue.length === 0) activeWeight -= queue.weight;
+    compact(queue.byServiceOrder, queue.length);
+    compact(queue.byEvictionOrder, queue.length);
     compact(deadlines, entries.size);
     return entry.request;
   };
 
-  const latestStart = ({ deadlineAt, arrivedAt }: T): number => {
-    // One slow spell must not make every later request look hopeless: without a completion the
-    // estimate would never come down again. A fresh request always has a start in the future.
-    const largestAllowance = (deadlineAt - arrivedAt) * MAXIMUM_ALLOWANCE_SHARE;
-    return deadlineAt - Math.min(estimate.allowance(), largestAllowance);
+  const computeLatestStart = ({ deadlineAt, arrivedAt }: T): number => {
+    // The cap keeps new requests startable after slow completions; the estimate can only recover if
+    // requests run.
+    const maximumServiceTime = (deadlineAt - arrivedAt) * MAXIMUM_SERVICE_TIME_FRACTION;
+    return deadlineAt - Math.min(estimate.serviceTimeBound(), maximumServiceTime);
   };
 
-  const expectedWait = (request: T): number => {
+  const estimateWait = (request: T): number => {
     const queue = callers.get(request.caller);
     if (!queue || queue.length === 0) return 0;
-    const turns = (queue.length * queuedWeight) / queue.weight;
-    return turns * estimate.completionInterval();
+    const requestsAhead = (queue.length * activeWeight) / queue.weight;
+    return requestsAhead * estimate.completionInterval();
   };
 
-  const retryAfter = (): number =>
+  const estimateRetryAfter = (): number =>
     Math.ceil(
       Math.min(
         Math.max(entries.size * estimate.completionInterval(), MINIMUM_RETRY_AFTER_MILLISECONDS),
@@ -201,13 +201,13 @@
       ),
     );
 
-  const lowestOf = (queue: CallerQueue<T> | undefined): Entry<T> | undefined => {
+  const peekEvictionCandidate = (queue: CallerQueue<T> | undefined): Entry<T> | undefined => {
     if (!queue) return undefined;
-    dropRemoved(queue.byEviction);
-    return queue.byEviction.peek();
+    popRemovedEntries(queue.byEvictionOrder);
+    return queue.byEvictionOrder.peek();
   };
 
-  const largestCaller = (): CallerQueue<T> | undefined => {
+  const findLargestCaller = (): CallerQueue<T> | undefined => {
     let largest: CallerQueue<T> | undefined;
     callers.forEach((queue) => {
       if (!largest || queue.length / queue.weight > largest.length / largest.weight) {
@@ -217,32 +217,32 @@
     return largest;
   };
 
-  const findVictim = (request: T): Entry<T> | undefined => {
+  const findEvictionCandidate = (request: T): Entry<T> | undefined => {
     const own = callers.get(request.caller);
-    const largest = largestCaller();
+    const largest = findLargestCaller();
     if (!largest) return undefined;
     const ownShare = ((own?.length ?? 0) + 1) / request.weight;
     if (largest !== own && ownShare <= (largest.length - 1) / largest.weight) {
-      return lowestOf(largest);
+      return peekEvictionCandidate(largest);
     }
-    const lowest = lowestOf(own);
+    const lowest = peekEvictionCandidate(own);
     return lowest && lowest.request.priority < request.priority ? lowest : undefined;
   };
 
-  const offer = (request: T, now: number): AdmissionOffer<T> => {
-    // Waiting for a certain refusal would only cost the caller its time.
-    if (now + expectedWait(request) > latestStart(request)) {
-      return { accepted: false, retryAfterMilliseconds: retryAfter() };
+  const offer = (request: T, now: number): AdmissionResult<T> => {
+    // Reject early if the request would expire in the queue.
+    if (now + estimateWait(request) > computeLatestStart(request)) {
+      return { accepted: false, retryAfterMilliseconds: estimateRetryAfter() };
     }
     if (entries.size < capacity) {
       insert(request, nextSequence());
       return { accepted: true };
     }
-    const victim = findVictim(request);
-    if (!victim) return { accepted: false, retryAfterMilliseconds: retryAfter() };
-    const evicted = detach(victim);
+    const candidate = findEvictionCandidate(request);
+    if (!candidate) return { accepted: false, retryAfterMilliseconds: estimateRetryAfter() };
+    const evicted = removeEntry(candidate);
     insert(request, nextSequence());
-    return { accepted: true, evicted, retryAfterMilliseconds: retryAfter() };
+    return { accepted: true, evicted, retryAfterMilliseconds: estimateRetryAfter() };
   };
 
   const takeFromCaller = (
@@ -250,24 +250,24 @@
     now: number,
     isEligible: (request: T) => boolean,
   ): T | undefined => {
-    const passedOver: Entry<T>[] = [];
+    const skippedEntries: Entry<T>[] = [];
     let taken: T | undefined;
     while (taken === undefined) {
-      dropRemoved(queue.byService);
-      const entry = queue.byService.pop();
+      popRemovedEntries(queue.byServiceOrder);
+      const entry = queue.byServiceOrder.pop();
       if (!entry) break;
-      if (now <= latestStart(entry.request) && isEligible(entry.request)) {
-        taken = detach(entry);
+      if (now <= computeLatestStart(entry.request) && isEligible(entry.request)) {
+        taken = removeEntry(entry);
       } else {
-        passedOver.push(entry);
+        skippedEntries.push(entry);
       }
     }
-    passedOver.forEach((entry) => queue.byService.push(entry));
+    skippedEntries.forEach((entry) => queue.byServiceOrder.push(entry));
     return taken;
   };
 
   const takeNext = (now: number, isEligible: (request: T) => boolean = () => true) => {
-    const passedOver: CallerQueue<T>[] = [];
+    const skippedCallers: CallerQueue<T>[] = [];
     let taken: T | undefined;
     while (taken === undefined) {
       const queue = schedule.pop();
@@ -276,37 +276,37 @@
       if (queue.length === 0) continue;
       taken = takeFromCaller(queue, now, isEligible);
       if (taken === undefined) {
-        passedOver.push(queue);
+        skippedCallers.push(queue);
       } else {
-        virtualNow = Math.max(virtualNow, queue.virtualFinish);
-        queue.virtualFinish += 1 / queue.weight;
+        virtualTime = Math.max(virtualTime, queue.virtualFinishTime);
+        queue.virtualFinishTime += 1 / queue.weight;
         if (queue.length > 0) scheduleCaller(queue.caller);
       }
     }
-    passedOver.forEach(({ caller }) => scheduleCaller(caller));
+    skippedCallers.forEach(({ caller }) => scheduleCaller(caller));
     return taken;
   };
 
   const expire = (now: number): T[] => {
     const expired: T[] = [];
     for (;;) {
-      dropRemoved(deadlines);
+      popRemovedEntries(deadlines);
       const entry = deadlines.peek();
-      if (!entry || now <= latestStart(entry.request)) return expired;
+      if (!entry || now <= computeLatestStart(entry.request)) return expired;
       deadlines.pop();
-      expired.push(detach(entry));
+      expired.push(removeEntry(entry));
     }
   };
 
   const remove = (requestId: string) => {
     const entry = entries.get(requestId);
-    return entry && detach(entry);
+    return entry && removeEntry(entry);
   };
 
   const nextDeadline = () => {
-    dropRemoved(deadlines);
+    popRemovedEntries(deadlines);
     const entry = deadlines.peek();
-    return entry && latestStart(entry.request);
+    return entry && computeLatestStart(entry.request);
   };
 
   return {
@@ -320,7 +320,7 @@
     recordCompletion: (milliseconds, now) => {
       estimate.recordCompletion(milliseconds, now, entries.size > 0);
     },
-    retryAfter,
+    retryAfter: estimateRetryAfter,
   };
 }
 
@@ -331,6 +331,6 @@
   return left.sequence - right.sequence;
 }
 
-function dropRemoved<T>(heap: ReturnType<typeof createHeap<Entry<T>>>): void {
+function popRemovedEntries<T>(heap: ReturnType<typeof createHeap<Entry<T>>>): void {
   while (heap.peek()?.isQueued === false) heap.pop();
 }
--- a/packages/core/src/lib/admission/connectionShare.ts
+++ b/packages/core/src/lib/admission/connectionShare.ts
@@ -1,22 +1,22 @@
-/** @public */
+/** Times in milliseconds. @public */
 export interface ConnectionShareOptions {
-  /** Connections that the database accepts from all instances together. */
+  /** Maximum number of connections that the database accepts from all instances together. */
   connectionLimit: number;
-  /** Connections left unused by the shares; newcomers and operators live on them. */
+  /** Connections excluded from the shares, for new instances and operators. */
   reserved: number;
-  /** How long an instance that left the list still counts. At least the greatest lag of the list. */
+  /** How long an unlisted instance still counts; at least the maximum lag of the list. */
   holdDownMilliseconds?: number;
-  /** How long a newcomer keeps to one connection. At least the greatest lag of the list. */
+  /** How long a new instance is limited to one connection; at least the maximum lag of the list. */
   warmUpMilliseconds?: number;
 }
 
 /** @public */
 export interface ConnectionShare {
-  /** @param liveInstances - names on the lagging list as this instance sees it. */
+  /** @param liveInstances - names on the latest list of instances, which may be outdated. */
   update: (liveInstances: string[], self: string, now: number) => void;
-  /** Connections that this instance may hold to the database at this time; at least 1. */
+  /** Maximum number of connections of this instance to the database; at least 1. */
   share: (now: number) => number;
-  /** The database refused a connection because of its limit. */
+  /** Records a connection that the database refused because of its limit. */
   recordRefusal: (now: number) => void;
 }
 
@@ -26,21 +26,19 @@
   warmUpMilliseconds: 3_000,
 };
 
-const SHRINK_FACTOR = 0.75;
-/** Refusals of one burst shrink the share once. */
-const SHRINK_PAUSE_MILLISECONDS = 1_000;
-/** Pause before a shrunken share tries one more connection. */
-const PROBE_MILLISECONDS = 5_000;
+const DECREASE_FACTOR = 0.75;
+/** Further refusals within this time do not reduce the share again. */
+const DECREASE_COOLDOWN_MILLISECONDS = 1_000;
+/** A reduced share grows by one connection per interval. */
+const INCREASE_INTERVAL_MILLISECONDS = 5_000;
 
 /**
- * Works out this instance's share of a database's connections from its lagging list of instances.
+ * Computes this instance's share of a database's connections from a list of instances that may lag.
  *
- * No instance knows what the others see, so the sum of the shares is kept within the limit by three
- * rules. An instance that appears counts at once; one that vanished counts on for the hold-down, in
- * which it may still hold connections or be seen by others. A newcomer, which others may not see
- * yet, keeps to one connection out of the reserve until its own warm-up is over. With lists that lag
- * by no more than these times, every warm instance divides by at least the number of warm instances.
- * Beyond that a refused connection shrinks the share, and it grows back one connection at a time.
+ * A listed instance counts immediately; an unlisted one counts until its hold-down ends. A new
+ * instance uses one reserved connection during its warm-up. If the lag of the lists is within these
+ * times, the shares add up to at most the limit. A refused connection reduces the share, which then
+ * recovers by one connection per interval.
  *
  * @public
  */
@@ -50,16 +48,16 @@
     ...options,
   };
   const lastSeenAt = new Map<string, number>();
-  const usable = Math.max(1, connectionLimit - reserved);
-  let listed = new Set<string>();
+  const shareableConnections = Math.max(1, connectionLimit - reserved);
+  let listedNames = new Set<string>();
   let firstUpdateAt: number | undefined;
-  let refusalCap: number | undefined;
+  let connectionCap: number | undefined;
   let cappedAt = 0;
 
   const countInstances = (now: number): number => {
     let count = 0;
     lastSeenAt.forEach((seenAt, name) => {
-      if (listed.has(name) || now - seenAt < holdDownMilliseconds) {
+      if (listedNames.has(name) || now - seenAt < holdDownMilliseconds) {
         count += 1;
       } else {
         lastSeenAt.delete(name);
@@ -68,31 +66,32 @@
     return Math.max(1, count);
   };
 
-  const shareOfList = (now: number): number => {
+  const computeListShare = (now: number): number => {
     if (firstUpdateAt === undefined || now - firstUpdateAt < warmUpMilliseconds) return 1;
-    return Math.max(1, Math.floor(usable / countInstances(now)));
+    return Math.max(1, Math.floor(shareableConnections / countInstances(now)));
   };
 
   const share = (now: number): number => {
-    const allowed = shareOfList(now);
-    if (refusalCap === undefined) return allowed;
-    const probed = refusalCap + Math.floor((now - cappedAt) / PROBE_MILLISECONDS);
-    if (probed < allowed) return probed;
-    refusalCap = undefined;
-    return allowed;
+    const listShare = computeListShare(now);
+    if (connectionCap === undefined) return listShare;
+    const recoveringShare =
+      connectionCap + Math.floor((now - cappedAt) / INCREASE_INTERVAL_MILLISECONDS);
+    if (recoveringShare < listShare) return recoveringShare;
+    connectionCap = undefined;
+    return listShare;
   };
 
   const update = (liveInstances: string[], self: string, now: number) => {
     firstUpdateAt ??= now;
-    // The time of the last sight is that of the list before this one: it held until now.
-    listed.forEach((name) => lastSeenAt.set(name, now));
-    listed = new Set([...liveInstances, self]);
-    listed.forEach((name) => lastSeenAt.set(name, now));
+    // Instances of the previous list count as seen until now.
+    listedNames.forEach((name) => lastSeenAt.set(name, now));
+    listedNames = new Set([...liveInstances, self]);
+    listedNames.forEach((name) => lastSeenAt.set(name, now));
   };
 
   const recordRefusal = (now: number) => {
-    if (refusalCap !== undefined && now - cappedAt < SHRINK_PAUSE_MILLISECONDS) return;
-    refusalCap = Math.max(1, Math.floor(share(now) * SHRINK_FACTOR));
+    if (connectionCap !== undefined && now - cappedAt < DECREASE_COOLDOWN_MILLISECONDS) return;
+    connectionCap = Math.max(1, Math.floor(share(now) * DECREASE_FACTOR));
     cappedAt = now;
   };
 
--- a/packages/core/src/lib/admission/heap.ts
+++ b/packages/core/src/lib/admission/heap.ts
@@ -1,17 +1,17 @@
-/** A binary heap; the smallest item by `compare` is on top. @internal */
+/** A binary min-heap. @internal */
 export interface Heap<T> {
   push: (item: T) => void;
   pop: () => T | undefined;
   peek: () => T | undefined;
   size: () => number;
-  /** Drops the items that fail `keep`, in linear time. */
+  /** Removes the items for which `keep` returns false, in linear time. */
   retain: (keep: (item: T) => boolean) => void;
 }
 
 /**
  * Creates an empty binary heap.
  *
- * @param compare - negative where `left` belongs above `right`, as for `Array.prototype.sort`.
+ * @param compare - comparison function as for `Array.prototype.sort`.
  * @internal
  */
 export function createHeap<T>(compare: (left: T, right: T) => number): Heap<T> {
@@ -64,8 +64,8 @@
     return top;
   };
 
-  const retain = (keep: (item: T) => boolean) => {
-    items = items.filter(keep);
+  const retain = (isKept: (item: T) => boolean) => {
+    items = items.filter(isKept);
     for (let index = Math.floor(items.length / 2); index >= 0; index -= 1) siftDown(index);
   };
 
--- a/packages/core/src/lib/admission/retryBudget.ts
+++ b/packages/core/src/lib/admission/retryBudget.ts
@@ -1,34 +1,33 @@
 /** @public */
 export interface RetryBudgetOptions {
-  /** Retries allowed for each first try, for example 0.1. */
+  /** Maximum ratio of retries to first attempts, for example 0.1. */
   share: number;
-  /** Retries that a quiet instance may always make; refilled over ten seconds. */
+  /** Retries available without traffic; replenished over ten seconds. */
   minimumTokens: number;
 }
 
 /** @public */
 export interface RetryBudget {
   recordFirstTry: (now: number) => void;
-  /** Spends one retry, or returns false where the budget is spent. */
+  /** Spends one token; returns false if the budget is exhausted. */
   tryRetry: (now: number) => boolean;
 }
 
-/** Time in which an empty budget refills to its minimum without traffic. */
+/** Time in which an empty budget refills to `minimumTokens` without traffic. */
 const REFILL_MILLISECONDS = 10_000;
-/** First tries whose share may be saved up. */
-const REMEMBERED_FIRST_TRIES = 1_000;
+/** Number of first attempts whose tokens can accumulate. */
+const MAXIMUM_CREDITED_FIRST_TRIES = 1_000;
 
 /**
- * Creates a budget that keeps retries to a share of the first tries.
+ * Creates a token bucket that limits retries to a ratio of the first attempts.
  *
- * It guards against retry storms: in an outage every request fails, each failure asks for a retry,
- * and the load on what still works multiplies. The retries spend tokens which only first tries (and
- * a slow refill for quiet instances) earn, so the load grows by `share` at most.
+ * Prevents retry storms during an outage: only first attempts and a slow refill earn tokens, so
+ * retries increase the load by at most `share`.
  *
  * @public
  */
 export function createRetryBudget({ share, minimumTokens }: RetryBudgetOptions): RetryBudget {
-  const maximumTokens = minimumTokens + share * REMEMBERED_FIRST_TRIES;
+  const maximumTokens = minimumTokens + share * MAXIMUM_CREDITED_FIRST_TRIES;
   let tokens = minimumTokens;
   let refilledAt: number | undefined;
 
--- a/packages/core/src/lib/admission/runningLimit.ts
+++ b/packages/core/src/lib/admission/runningLimit.ts
@@ -1,89 +1,94 @@
 /** @public */
 export interface RunningLimitOptions {
-  /** Statements that the database runs at the same time, for all instances together. */
+  /** Maximum number of concurrent statements at the database, for all instances together. */
   slots: number;
-  /** Instances that send statements to the database. */
+  /** Number of instances that send statements to the database. */
   instances: number;
 }
 
 /** @public */
 export interface RunningLimit {
-  /** Statements that this instance may run at the database at the same time; at least 1. */
+  /** Maximum number of concurrent statements of this instance at the database; at least 1. */
   limit: () => number;
   /**
-   * @param milliseconds - time from sending the statement to its whole answer.
-   * @param running - statements of this instance that ran there, this one included.
+   * @param milliseconds - time from sending the statement to receiving the complete answer.
+   * @param running - concurrent statements of this instance, including this one.
    */
   recordCompletion: (milliseconds: number, running: number) => void;
-  /** The database refused or lost a statement. */
+  /** Records a statement that the database refused or lost. */
   recordFailure: () => void;
   update: (options: RunningLimitOptions) => void;
 }
 
-/** Latency in proportion to the unloaded one up to which a database counts as not queueing. */
-const TOLERATED_SLOWDOWN = 1.5;
+/** Above this ratio of the latency to the unloaded latency, statements queue at the database. */
+const MAXIMUM_LATENCY_RATIO = 1.5;
 const DECREASE_FACTOR = 0.9;
-const SMOOTHING = 0.1;
-/** Pull of the unloaded latency upwards, so that it follows a workload that has become slower. */
-const BASELINE_DRIFT = 0.005;
+const SMOOTHING_FACTOR = 0.1;
+/** Lets the unloaded latency follow a workload that has become slower. */
+const LATENCY_DRIFT = 0.005;
 const CLOCK_RESOLUTION_MILLISECONDS = 0.1;
 
 /**
- * Limits the statements that one instance runs at a database at the same time.
+ * Creates an adaptive limit for the concurrent statements of one instance at a database.
  *
- * The fair part of the slots is always allowed. Above it the limit grows by one statement for each
- * round of completions while the latency stays near the unloaded one, so that a busy instance uses
- * the slots that quiet ones leave, and shrinks by a tenth a round once statements queue at the
- * database. It never exceeds the slots.
+ * The limit varies between the instance's fair share of the slots and all slots. Per round of
+ * completions it grows by one while the latency is near the unloaded latency, and shrinks by a tenth
+ * while statements queue at the database.
  *
  * @public
  */
 export function createRunningLimit(options: RunningLimitOptions): RunningLimit {
   let { slots, instances } = options;
-  let baseline: number | undefined;
-  let smoothed: number | undefined;
-  let current = fairPart(slots, instances);
+  let unloadedLatency: number | undefined;
+  let averageLatency: number | undefined;
+  let currentLimit = computeFairShare(slots, instances);
 
-  const clamp = (value: number) => Math.min(slots, Math.max(fairPart(slots, instances), value));
+  const clamp = (value: number) =>
+    Math.min(slots, Math.max(computeFairShare(slots, instances), value));
 
-  const observe = (milliseconds: number) => {
-    smoothed = smoothed === undefined ? milliseconds : blend(smoothed, milliseconds);
-    baseline ??= smoothed;
-    if (smoothed < baseline) baseline = smoothed;
-    // Above the fair part the latency holds queueing that this instance may cause itself: taken for
-    // unloaded, it would let the limit of every instance climb to the slots and stay there.
-    const isAtFairPart = current <= fairPart(slots, instances);
-    if (isAtFairPart) baseline += BASELINE_DRIFT * (smoothed - baseline);
-    return { observed: smoothed, unloaded: baseline };
+  const updateLatency = (milliseconds: number) => {
+    averageLatency =
+      averageLatency === undefined
+        ? milliseconds
+        : updateMovingAverage(averageLatency, milliseconds);
+    unloadedLatency ??= averageLatency;
+    if (averageLatency < unloadedLatency) unloadedLatency = averageLatency;
+    // Above the fair share the latency includes queueing caused by this instance. Counted as
+    // unloaded, it would keep the limit of every instance at all slots.
+    const isAtFairShare = currentLimit <= computeFairShare(slots, instances);
+    if (isAtFairShare) unloadedLatency += LATENCY_DRIFT * (averageLatency - unloadedLatency);
+    return { observed: averageLatency, unloaded: unloadedLatency };
   };
 
   const recordCompletion = (milliseconds: number, running: number) => {
-    const { observed, unloaded } = observe(milliseconds);
-    if (observed > TOLERATED_SLOWDOWN * Math.max(unloaded, CLOCK_RESOLUTION_MILLISECONDS)) {
-      current = clamp(current - (current * (1 - DECREASE_FACTOR)) / Math.max(1, current));
-    } else if (running >= Math.floor(current)) {
-      // Growth only while the limit is what holds statements back.
-      current = clamp(current + 1 / Math.max(1, current));
+    const { observed, unloaded } = updateLatency(milliseconds);
+    if (observed > MAXIMUM_LATENCY_RATIO * Math.max(unloaded, CLOCK_RESOLUTION_MILLISECONDS)) {
+      currentLimit = clamp(
+        currentLimit - (currentLimit * (1 - DECREASE_FACTOR)) / Math.max(1, currentLimit),
+      );
+    } else if (running >= Math.floor(currentLimit)) {
+      // Grow only while the limit is reached.
+      currentLimit = clamp(currentLimit + 1 / Math.max(1, currentLimit));
     }
   };
 
   return {
-    limit: () => Math.max(1, Math.floor(current)),
+    limit: () => Math.max(1, Math.floor(currentLimit)),
     recordCompletion,
     recordFailure: () => {
-      current = clamp(current * DECREASE_FACTOR);
+      currentLimit = clamp(currentLimit * DECREASE_FACTOR);
     },
     update: (changed) => {
       ({ slots, instances } = changed);
-      current = clamp(current);
+      currentLimit = clamp(currentLimit);
     },
   };
 }
 
-function fairPart(slots: number, instances: number): number {
+function computeFairShare(slots: number, instances: number): number {
   return Math.max(1, slots / Math.max(1, instances));
 }
 
-function blend(average: number, observation: number): number {
-  return average + SMOOTHING * (observation - average);
+function updateMovingAverage(average: number, observation: number): number {
+  return average + SMOOTHING_FACTOR * (observation - average);
 }
--- a/packages/core/src/lib/admission/serviceEstimate.ts
+++ b/packages/core/src/lib/admission/serviceEstimate.ts
@@ -1,20 +1,19 @@
-/** Observed service times and the pace of completions. @public */
+/** Estimates service times and the interval between completions. @public */
 export interface ServiceEstimate {
-  /** @param isBusy - whether more work waited, so that the pace was the capacity's. */
+  /** @param isBusy - whether requests are still queued, so that the service is saturated. */
   recordCompletion: (milliseconds: number, now: number, isBusy: boolean) => void;
-  /** Time that a request should be given, in milliseconds; 0 before the first completion. */
-  allowance: () => number;
-  /** Milliseconds between completions while work waited; 0 before it is known. */
+  /** Upper estimate of the service time in milliseconds; 0 before the first completion. */
+  serviceTimeBound: () => number;
+  /** Average milliseconds between completions under saturation; 0 if unknown. */
   completionInterval: () => number;
 }
 
-/** Weight of a new observation in the moving averages. */
-const SMOOTHING = 1 / 16;
-/** Mean deviations above the mean that a request is given. */
-const DEVIATIONS = 2;
+const SMOOTHING_FACTOR = 1 / 16;
+/** Number of mean deviations above the mean. */
+const BOUND_DEVIATIONS = 2;
 
 /**
- * Keeps moving averages of the service time, its mean deviation and the pace of completions.
+ * Creates moving averages of the service time, its mean deviation and the completion interval.
  *
  * @public
  */
@@ -30,14 +29,15 @@
       deviation = milliseconds / 2;
       return;
     }
-    deviation += SMOOTHING * (Math.abs(milliseconds - mean) - deviation);
-    mean += SMOOTHING * (milliseconds - mean);
+    deviation += SMOOTHING_FACTOR * (Math.abs(milliseconds - mean) - deviation);
+    mean += SMOOTHING_FACTOR * (milliseconds - mean);
   };
 
   const recordInterval = (now: number, isBusy: boolean) => {
     if (lastBusyCompletionAt !== undefined) {
       const observed = now - lastBusyCompletionAt;
-      interval = interval === undefined ? observed : interval + SMOOTHING * (observed - interval);
+      interval =
+        interval === undefined ? observed : interval + SMOOTHING_FACTOR * (observed - interval);
     }
     lastBusyCompletionAt = isBusy ? now : undefined;
   };
@@ -47,7 +47,7 @@
       recordServiceTime(milliseconds);
       recordInterval(now, isBusy);
     },
-    allowance: () => (mean === undefined ? 0 : mean + DEVIATIONS * deviation),
+    serviceTimeBound: () => (mean === undefined ? 0 : mean + BOUND_DEVIATIONS * deviation),
     completionInterval: () => interval ?? 0,
   };
 }
