--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -56,7 +56,7 @@
   type VariableColumn,
 } from './lib/session/statement';
 export { parseStatementOptions, type StatementOptions } from './lib/session/statementOptions';
-export { adoptConfiguration, type Adoption } from './lib/configuration/adoptConfiguration';
+export { adoptConfiguration, type AdoptionResult } from './lib/configuration/adoptConfiguration';
 export { type ConfigurationFault } from './lib/configuration/configurationFault';
 export { EMPTY_CONFIGURATION_OBJECT } from './lib/configuration/emptyConfiguration';
 export { mergePatch, type JsonValue } from './lib/configuration/mergePatch';
--- a/packages/core/src/lib/configuration/adoptConfiguration.ts
+++ b/packages/core/src/lib/configuration/adoptConfiguration.ts
@@ -3,28 +3,27 @@
 import { describeFaults } from './configurationFault';
 import type { ConfigurationFault } from './configurationFault';
 
-/** What becomes of a configuration that arrived from the platform or from a peer. @public */
-export type Adoption =
+/** Result of checking a configuration received from the platform or a peer. @public */
+export type AdoptionResult =
   | { status: 'adopted'; configurationObject: ConfigurationObject }
-  /** Not above the number in force, as with a late or repeated message. */
+  /** The number does not exceed the current one, for example in a late or repeated message. */
   | { status: 'notHigher'; number: number }
   | { status: 'invalid'; faults: ConfigurationFault[] };
 
 /**
- * Decides whether a configuration that arrived replaces the one in force.
+ * Decides whether a received configuration replaces the current one.
  *
- * Messages of watches, polls and peers overtake each other, and one of them may carry a number that
- * was replaced long ago. Only a higher number is taken, so that a configuration never reverts, and
- * only a whole object that passes the schema, so that half of one is never in force.
+ * Messages of watches, polls and peers can arrive out of order. Accepting only higher numbers keeps
+ * a configuration from being reverted; only complete, valid objects are accepted.
  *
- * @param options.currentNumber - number in force; undefined before the first.
- * @param options.candidate - what arrived, unchecked.
+ * @param options.currentNumber - current number; undefined before the first configuration.
+ * @param options.candidate - received value, not yet validated.
  * @public
  */
 export function adoptConfiguration(options: {
   currentNumber: number | undefined;
   candidate: unknown;
-}): Adoption {
+}): AdoptionResult {
   const { currentNumber = -1, candidate } = options;
   const result = configurationObjectSchema.safeParse(candidate);
   if (!result.success) return { status: 'invalid', faults: describeFaults(result.error) };
--- a/packages/core/src/lib/configuration/configurationFault.ts
+++ b/packages/core/src/lib/configuration/configurationFault.ts
@@ -1,13 +1,13 @@
 import type { z } from 'zod';
 
-/** One fault of a configuration: where it is and what would be accepted. @public */
+/** A validation error in a configuration. @public */
 export interface ConfigurationFault {
-  /** Dotted path, for example `groups.archivio-1.databases.0.port`; empty for the whole. */
+  /** Dotted path, for example `groups.archivio-1.databases.0.port`; empty for the root. */
   path: string;
   reason: string;
 }
 
-/** Turns what the validator found into faults, one for each unknown key. */
+/** Converts schema validation issues into faults, with one fault per unknown key. */
 export function describeFaults(error: z.ZodError): ConfigurationFault[] {
   return error.issues.flatMap(describeIssue);
 }
--- a/packages/core/src/lib/configuration/mergePatch.ts
+++ b/packages/core/src/lib/configuration/mergePatch.ts
@@ -1,12 +1,10 @@
-/** A value that JSON can hold. @public */
+/** A JSON value. @public */
 export type JsonValue = unknown;
 
 /**
- * Applies a JSON merge patch (RFC 7396): objects are merged, `null` removes a key, anything else
- * replaces what was there.
+ * Applies a JSON merge patch (RFC 7396) without modifying its arguments.
  *
- * Neither argument is changed. Keys are defined as own properties, so that a patch with the key
- * `__proto__` cannot reach the prototype of the result.
+ * Keys are defined as own properties, so the key `__proto__` cannot set the prototype of the result.
  *
  * @public
  */
--- a/packages/core/src/lib/configuration/patchSubmission.ts
+++ b/packages/core/src/lib/configuration/patchSubmission.ts
@@ -6,47 +6,47 @@
 import type { PreparedPatch } from './preparePatch';
 import { settlePatch } from './settlePatch';
 
-/** What an operator is told about a patch. @public */
+/** Outcome of a patch as reported to the operator. @public */
 export type PatchOutcome =
   | { status: 'accepted'; number: number }
   | { status: 'outdated'; presentNumber: number }
   | { status: 'invalid'; faults: ConfigurationFault[] }
-  /** It may or may not be accepted: ask again by its id, or submit it again under the same id. */
+  /** The patch may have been accepted; query it or resubmit it under the same id. */
   | { status: 'unknown'; patchId: string };
 
-/** The configuration object with the version that the platform gave it; 0 where there is none. @public */
+/** A configuration object and its version in the platform; version 0 if it does not exist. @public */
 export interface VersionedConfiguration {
   version: number;
   configurationObject: ConfigurationObject;
 }
 
-/** How the last step of a submission went. @public */
+/** Result of a submission step. @public */
 export type SubmissionEvent =
-  /** `found` is undefined where the platform holds no configuration yet. */
+  /** `found` is undefined if the platform has no configuration. */
   | { type: 'objectRead'; found: VersionedConfiguration | undefined }
   | { type: 'updateStored' }
   | { type: 'updateConflicted' }
   | { type: 'callFailed'; mayHaveApplied: boolean }
   | { type: 'waitOver' };
 
-/** What the task has to do next for a submission. @public */
+/** Next step of a submission. @public */
 export type SubmissionStep =
   | { type: 'readObject' }
   | { type: 'updateObject'; expectedVersion: number; configurationObject: ConfigurationObject }
-  /** Pause before the next call; `failures` is how many calls have failed so far. */
+  /** Wait before the next call; `failures` is the number of failed calls. */
   | { type: 'wait'; failures: number }
   | { type: 'finish'; outcome: PatchOutcome };
 
 /** @public */
 export interface PatchSubmissionOptions {
   patch: ConfigurationPatch;
-  /** ISO 8601 time, for people only. */
+  /** ISO 8601 time; informational only. */
   acceptedAt: string;
-  /** Calls that may fail before the submission ends without an answer. */
+  /** Number of failed calls after which the outcome is `unknown`. */
   maximumFailures: number;
 }
 
-/** One patch on its way to the platform. @public */
+/** State machine that submits one patch to the platform. @public */
 export interface PatchSubmission {
   step: () => SubmissionStep;
   handle: (event: SubmissionEvent) => void;
@@ -54,9 +54,9 @@
 
 interface SubmissionContext extends PatchSubmissionOptions {
   failures: number;
-  /** Whether an update that was sent may have taken effect or may still do so. */
+  /** Whether a sent update may have been applied or may still be applied. */
   mayHaveApplied: boolean;
-  /** What the platform held when it was last read, and its version. */
+  /** Configuration object and version from the last read. */
   current: ConfigurationObject;
   version: number;
   prepared: PreparedPatch | undefined;
@@ -75,7 +75,7 @@
   },
   actions: {
     rememberObject: assign(({ context, event }) =>
-      event.type === 'objectRead' ? readObject(context, event.found) : {},
+      event.type === 'objectRead' ? applyReadObject(context, event.found) : {},
     ),
     countFailure: assign(({ context, event }) => ({
       failures: context.failures + 1,
@@ -85,8 +85,8 @@
     settleAccepted: assign(({ context }) => ({
       outcome: { status: 'accepted', number: context.patch.againstNumber + 1 } as const,
     })),
-    settlePrepared: assign(({ context }) => ({ outcome: outcomeOfPrepared(context) })),
-    giveUp: assign(({ context }) => ({ outcome: outcomeWithoutAnswer(context) })),
+    settlePrepared: assign(({ context }) => ({ outcome: resolvePreparedPatch(context) })),
+    giveUp: assign(({ context }) => ({ outcome: createUnknownOutcome(context) })),
   },
 }).createMachine({
   id: 'patchSubmission',
@@ -136,25 +136,23 @@
 const describeStep: Record<StateName, (context: SubmissionContext) => SubmissionStep> = {
   reading: () => ({ type: 'readObject' }),
   updating: ({ prepared, version }) => {
-    if (prepared?.status !== 'ready') throw new Error('nothing is ready to be stored');
+    if (prepared?.status !== 'ready') throw new Error('patch is not ready to be stored');
     const { configurationObject } = prepared;
     return { type: 'updateObject', expectedVersion: version, configurationObject };
   },
   waiting: ({ failures }) => ({ type: 'wait', failures }),
   finished: (context) => ({
     type: 'finish',
-    outcome: context.outcome ?? outcomeWithoutAnswer(context),
+    outcome: context.outcome ?? createUnknownOutcome(context),
   }),
 };
 
 /**
- * Brings one patch to the platform: read, update under the version that was read, and, where an
- * answer was lost, read back.
+ * Creates the submission of a patch to the platform by a conditional update.
  *
- * A lost answer does not say whether the update took effect. The machine therefore reads again and
- * looks for the patch id: found, the patch is accepted; another patch in its place, it is outdated
- * for good; neither, the same update is sent again under the same version, of which at most one can
- * take effect. Without an answer the outcome is `unknown`, also where this submission sent nothing.
+ * If an answer is lost, the submission reads again and looks for the patch id. A found patch is
+ * accepted; one whose number was taken is outdated; otherwise the update is repeated with the same
+ * expected version, so it is applied at most once.
  *
  * @example
  * const submission = createPatchSubmission({ patch, acceptedAt, maximumFailures: 4 });
@@ -174,7 +172,7 @@
   };
 }
 
-function readObject(
+function applyReadObject(
   { patch, acceptedAt }: SubmissionContext,
   found: VersionedConfiguration | undefined,
 ): Partial<SubmissionContext> {
@@ -183,19 +181,19 @@
   return { current, version: found?.version ?? 0, prepared };
 }
 
-/** The outcome of a patch that needs no update. */
-function outcomeOfPrepared(context: SubmissionContext): PatchOutcome {
+/** Returns the outcome of a patch that needs no update. */
+function resolvePreparedPatch(context: SubmissionContext): PatchOutcome {
   const { prepared } = context;
   if (prepared?.status === 'alreadyAccepted') {
     return { status: 'accepted', number: prepared.number };
   }
   if (prepared?.status === 'invalid') return prepared;
-  if (prepared?.status === 'outdated') return outcomeOfOutdated(context, prepared.presentNumber);
-  return outcomeWithoutAnswer(context);
+  if (prepared?.status === 'outdated') return resolveOutdatedPatch(context, prepared.presentNumber);
+  return createUnknownOutcome(context);
 }
 
-/** A patch that was sent may have been accepted so long ago that the object has forgotten it. */
-function outcomeOfOutdated(context: SubmissionContext, presentNumber: number): PatchOutcome {
+/** An accepted patch may have dropped out of the patch history; it is then not reported as outdated. */
+function resolveOutdatedPatch(context: SubmissionContext, presentNumber: number): PatchOutcome {
   const { current, mayHaveApplied, patch } = context;
   if (!mayHaveApplied) return { status: 'outdated', presentNumber };
   const finding = settlePatch({ configurationObject: current, ...patch });
@@ -204,10 +202,9 @@
 }
 
 /**
- * Guards against calling a stored patch not accepted. A submission that sent nothing may repeat one,
- * perhaps of another instance, whose update took effect while its answer was lost; told "nothing has
- * changed", the operator would make the change a second time under another id.
+ * A submission that sent no update is also `unknown`: it may repeat one that another instance
+ * stored. Reporting a failure could lead the operator to apply the change twice.
  */
-function outcomeWithoutAnswer({ patch }: SubmissionContext): PatchOutcome {
+function createUnknownOutcome({ patch }: SubmissionContext): PatchOutcome {
   return { status: 'unknown', patchId: patch.patchId };
 }
--- a/packages/core/src/lib/configuration/preparePatch.ts
+++ b/packages/core/src/lib/configuration/preparePatch.ts
@@ -7,30 +7,29 @@
 } from '@wisterialift/schema';
 import { describeFaults } from './configurationFault';
 import type { ConfigurationFault } from './configurationFault';
-import { findMemberFaults } from './memberChanges';
+import { findMemberChangeFaults } from './memberChanges';
 import { mergePatch } from './mergePatch';
 
-/** What a patch comes to when it meets the present configuration. @public */
+/** Result of applying a patch to the current configuration. @public */
 export type PreparedPatch =
-  /** To be stored under the condition that the object has not changed. */
+  /** The object to store, provided that the stored object has not changed. */
   | { status: 'ready'; configurationObject: ConfigurationObject }
-  /** The same patch was accepted before, at this number; there is nothing to store. */
+  /** The patch has already been accepted with this number. */
   | { status: 'alreadyAccepted'; number: number }
-  /** Made against a number that is no longer the present one. */
+  /** The patch was created against an older number. */
   | { status: 'outdated'; presentNumber: number }
   | { status: 'invalid'; faults: ConfigurationFault[] };
 
-/** Largest configuration object as JSON; the platform holds values up to a megabyte. */
+/** Maximum size of the object as JSON; the platform stores values of up to one megabyte. */
 const MAXIMUM_OBJECT_BYTES = 900_000;
 
 /**
- * Decides what a patch comes to. A patch is taken whole or not at all.
+ * Validates a patch and applies it to the current configuration.
  *
- * The patch id is looked at before the number: a patch whose first answer was lost is accepted
- * when it is submitted again, and not refused because of the number that it brought itself.
+ * The patch id is checked before the number, so that resubmitting an accepted patch succeeds.
  *
- * @param options.current - the configuration object as the platform holds it now.
- * @param options.acceptedAt - ISO 8601 time, for people only.
+ * @param options.current - configuration object currently stored in the platform.
+ * @param options.acceptedAt - ISO 8601 time; informational only.
  * @public
  */
 export function preparePatch(options: {
@@ -46,12 +45,12 @@
   }
   const result = configurationSchema.safeParse(mergePatch(current.configuration, patch.changes));
   if (!result.success) return { status: 'invalid', faults: describeFaults(result.error) };
-  const faults = findMemberFaults(current.configuration, result.data);
+  const faults = findMemberChangeFaults(current.configuration, result.data);
   if (faults.length > 0) return { status: 'invalid', faults };
-  return checkLength(nextObject({ current, patch, acceptedAt, configuration: result.data }));
+  return checkSize(createNextObject({ current, patch, acceptedAt, configuration: result.data }));
 }
 
-/** Finds an accepted patch among those that the object remembers. @public */
+/** Finds an accepted patch in the object's patch history. @public */
 export function findAcceptedPatch(
   configurationObject: ConfigurationObject,
   patchId: string,
@@ -59,7 +58,7 @@
   return configurationObject.patches.find((accepted) => accepted.patchId === patchId);
 }
 
-function nextObject(options: {
+function createNextObject(options: {
   current: ConfigurationObject;
   patch: ConfigurationPatch;
   acceptedAt: string;
@@ -72,7 +71,7 @@
   return { number, configuration, patches: patches.slice(-REMEMBERED_PATCHES) };
 }
 
-function checkLength(configurationObject: ConfigurationObject): PreparedPatch {
+function checkSize(configurationObject: ConfigurationObject): PreparedPatch {
   const { length } = new TextEncoder().encode(JSON.stringify(configurationObject));
   if (length <= MAXIMUM_OBJECT_BYTES) return { status: 'ready', configurationObject };
   const reason = `the whole would have ${length} bytes; at most ${MAXIMUM_OBJECT_BYTES} are accepted`;
--- a/packages/core/src/lib/configuration/settlePatch.ts
+++ b/packages/core/src/lib/configuration/settlePatch.ts
@@ -1,25 +1,24 @@
 import type { AcceptedPatch, ConfigurationObject } from '@wisterialift/schema';
 import { findAcceptedPatch } from './preparePatch';
 
-/** What a configuration object says about a patch that was sent before. @public */
+/** Status of a submitted patch according to a configuration object. @public */
 export type PatchFinding =
   | { status: 'accepted'; patch: AcceptedPatch }
-  /** Another patch took the number; this one can no longer take effect. */
+  /** Another patch has the number; this one can no longer be applied. */
   | { status: 'refused'; presentNumber: number }
-  /** Not there yet: an update on its way may still take effect, and a repetition is safe. */
+  /** Not applied yet; a delayed update may still be applied, and resubmitting is safe. */
   | { status: 'pending'; presentNumber: number }
-  /** So many patches came since that the object no longer remembers. */
+  /** The patch history no longer covers this number. */
   | { status: 'forgotten'; presentNumber: number };
 
 /**
- * Settles a patch whose answer was lost, from the object as the platform holds it now.
+ * Determines the status of a patch whose answer was lost, from the currently stored object.
  *
- * An update names the version that it expects. Once another patch took the number after
- * `againstNumber`, that version is gone and the update can never be applied, however late it
- * arrives; until then its absence proves nothing.
+ * Updates are conditional: once another patch has the number after `againstNumber`, a delayed update
+ * can no longer be applied. Until then a missing patch is `pending`.
  *
- * @param options.againstNumber - number that the patch was made against; without it, a patch that is
- *   not found stays `pending`.
+ * @param options.againstNumber - number that the patch was created against; if undefined, a missing
+ *   patch is always `pending`.
  * @public
  */
 export function settlePatch(options: {
