--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -76,7 +76,7 @@
 } from './lib/configuration/preparePatch';
 export { settlePatch, type PatchFinding } from './lib/configuration/settlePatch';
 export {
-  LEAVING_MEMORY_MILLISECONDS,
+  LEAVING_OVERRIDE_MILLISECONDS,
   MISSED_LISTS_LIMIT,
   createInstanceView,
   instancesOf,
@@ -93,7 +93,7 @@
   chooseSources,
   isWatcher,
   type ConfigurationSource,
-  type Neighbourhood,
+  type InstancePerspective,
 } from './lib/membership/audience';
 export {
   backOffMilliseconds,
--- a/packages/core/src/lib/membership/audience.ts
+++ b/packages/core/src/lib/membership/audience.ts
@@ -2,70 +2,69 @@
 import { orderByRendezvous } from './rendezvous';
 import { chooseWatchers } from './watchers';
 
-/** An instance among the others that it knows, itself included. @public */
-export interface Neighbourhood {
+/** An instance and all instances that it knows, including itself. @public */
+export interface InstancePerspective {
   self: Instance;
   instances: readonly Instance[];
 }
 
-/** Where an instance has a configuration from. @public */
+/** Source of a configuration. @public */
 export type ConfigurationSource =
-  /** It submitted the patch itself. */
+  /** A patch submitted through this instance. */
   | 'patch'
-  /** It read it at the platform. */
+  /** A read from the platform. */
   | 'platform'
-  /** Another instance told it. */
+  /** A message from another instance. */
   | 'peer';
 
 /**
- * Whom an instance tells of a configuration that is news to it.
+ * Chooses the instances to which an instance forwards a new configuration.
  *
- * The submitter of a patch tells its data centre and the watchers of all others, which would hear
- * from the platform as well unless that has gone down since. A watcher tells those of its data centre
- * that do not watch. An instance that had to ask the platform itself tells its whole data centre, as
- * the watchers failed it. One that does not watch and was told by another tells nobody, so that
- * messages end.
+ * - After a patch: its data centre and the watchers of the others, in case the platform fails.
+ * - A watcher: the other instances of its data centre that do not watch.
+ * - Another instance that read the platform: its data centre, as its watchers may have failed.
+ * - Another instance that received it from a peer: none, so that forwarding ends.
  *
  * @public
  */
 export function chooseAudience(
-  options: Neighbourhood & { source: ConfigurationSource },
+  options: InstancePerspective & { source: ConfigurationSource },
 ): Instance[] {
   const { self, instances, source } = options;
-  const watchers = new Set(namesOfAllWatchers(instances));
-  const isTellingWatchers = source === 'patch' || !watchers.has(self.name);
+  const watchers = new Set(listAllWatcherNames(instances));
+  const isNotifyingWatchers = source === 'patch' || !watchers.has(self.name);
   if (source === 'peer' && !watchers.has(self.name)) return [];
   return instances.filter(({ name, dataCentre }) => {
     if (name === self.name) return false;
-    if (watchers.has(name) && !isTellingWatchers) return false;
+    if (watchers.has(name) && !isNotifyingWatchers) return false;
     return dataCentre === self.dataCentre || (source === 'patch' && watchers.has(name));
   });
 }
 
 /**
- * Whom an instance asks for what the platform last said: the watchers of its data centre, in an
- * order of its own, so that the questions of many spread over them.
+ * Orders the watchers of the data centre for requests for the latest platform state; the order
+ * differs between instances to spread the load.
  *
  * @public
  */
-export function chooseSources({ self, instances }: Neighbourhood): Instance[] {
+export function chooseSources({ self, instances }: InstancePerspective): Instance[] {
   const names = chooseWatchers({ instances, dataCentre: self.dataCentre }).filter(
     (name) => name !== self.name,
   );
-  return pickInstances(orderByRendezvous({ key: `ask ${self.name}`, names }), instances);
+  return findInstancesByName(orderByRendezvous({ key: `ask ${self.name}`, names }), instances);
 }
 
-/** Whether an instance watches the platform by its own list; one alone in its list does. @public */
-export function isWatcher({ self, instances }: Neighbourhood): boolean {
+/** Whether an instance watches the platform; true if its data centre has no known watcher. @public */
+export function isWatcher({ self, instances }: InstancePerspective): boolean {
   const watchers = chooseWatchers({ instances, dataCentre: self.dataCentre });
   return watchers.length === 0 || watchers.includes(self.name);
 }
 
-function namesOfAllWatchers(instances: readonly Instance[]): string[] {
+function listAllWatcherNames(instances: readonly Instance[]): string[] {
   const dataCentres = [...new Set(instances.map(({ dataCentre }) => dataCentre))];
   return dataCentres.flatMap((dataCentre) => chooseWatchers({ instances, dataCentre }));
 }
 
-function pickInstances(names: readonly string[], instances: readonly Instance[]): Instance[] {
+function findInstancesByName(names: readonly string[], instances: readonly Instance[]): Instance[] {
   return names.flatMap((name) => instances.filter((instance) => instance.name === name));
 }
--- a/packages/core/src/lib/membership/backOff.ts
+++ b/packages/core/src/lib/membership/backOff.ts
@@ -1,14 +1,14 @@
-/** How pauses grow after failures in a row; times in milliseconds. @public */
+/** Settings of exponential back-off. @public */
 export interface BackOffTimes {
   initialMilliseconds: number;
   maximumMilliseconds: number;
 }
 
 /**
- * The pause before the next attempt: doubled with each failure up to a maximum, of which a random
- * half is taken off, so that instances that failed together do not come back together.
+ * Computes the pause before the next attempt: exponential back-off with jitter of up to a half, to
+ * avoid synchronized retries of many instances.
  *
- * @param options.failures - failures in a row so far, at least 1.
+ * @param options.failures - consecutive failures, at least 1.
  * @param options.random - a number in [0, 1).
  * @public
  */
@@ -18,13 +18,13 @@
   times: BackOffTimes;
 }): number {
   const { failures, random, times } = options;
-  const doubled = times.initialMilliseconds * 2 ** Math.min(failures - 1, 30);
-  const longest = Math.min(times.maximumMilliseconds, doubled);
-  return longest * (1 - random / 2);
+  const doubledMilliseconds = times.initialMilliseconds * 2 ** Math.min(failures - 1, 30);
+  const maximumPause = Math.min(times.maximumMilliseconds, doubledMilliseconds);
+  return maximumPause * (1 - random / 2);
 }
 
 /**
- * A pause that varies by half its length to either side, so that polls of many instances spread.
+ * Varies a pause by up to half its length, to spread the polls of many instances.
  *
  * @param options.random - a number in [0, 1).
  * @public
--- a/packages/core/src/lib/membership/instanceView.ts
+++ b/packages/core/src/lib/membership/instanceView.ts
@@ -1,35 +1,35 @@
 import type { Instance } from '@wisterialift/schema';
 
-/** What an instance believes of the others, from lists that lag and from what peers said. @public */
+/** An instance's view of the others, from platform lists and peer messages. @public */
 export interface InstanceView {
-  /** The instance that has this view; always a part of it, as it knows itself best. */
+  /** The instance that holds this view; always part of it. */
   readonly self: Instance;
-  /** Whether a list has shown the instance itself as live since it was started. */
+  /** Whether a list has shown the instance itself as live since its start. */
   readonly isSelfListed: boolean;
   readonly others: readonly KnownInstance[];
 }
 
-/** Another instance, with what weakens or overrides its entry in the list. @public */
+/** Another instance, with state that is not part of its list entry. @public */
 export interface KnownInstance {
   readonly instance: Instance;
-  /** Lists in a row that did not name it. */
+  /** Number of consecutive lists without this instance. */
   readonly missedLists: number;
-  /** It said itself that it leaves; a list that shows it live is older, until this time. */
+  /** Until this time, an announced departure overrides lists that show the instance as live. */
   readonly leavingUntil: number | undefined;
 }
 
-/** An instance leaves the view when so many lists in a row did not name it. @public */
+/** Number of consecutive lists without an instance after which the view drops it. @public */
 export const MISSED_LISTS_LIMIT = 2;
 
-/** How long a leaving that a peer announced overrides the list, in milliseconds. @public */
-export const LEAVING_MEMORY_MILLISECONDS = 60_000;
+/** How long an announced departure overrides the list. @public */
+export const LEAVING_OVERRIDE_MILLISECONDS = 60_000;
 
-/** A view that knows only the instance itself. @public */
+/** Creates a view that contains only the instance itself. @public */
 export function createInstanceView(self: Instance): InstanceView {
   return { self, isSelfListed: false, others: [] };
 }
 
-/** Replaces the entry of the instance itself, as when it begins to leave. @public */
+/** Replaces the entry of the instance itself, for example when it starts leaving. @public */
 export function withSelf(view: InstanceView, self: Instance): InstanceView {
   return { ...view, self };
 }
@@ -37,11 +37,10 @@
 /**
  * Merges a list of the platform into a view.
  *
- * Lists lag, and two in a row may come from copies of different age, so that an instance seems to
- * go and come back. A single list without it therefore does not remove it: shares of scarce
- * connections would otherwise be handed out twice.
+ * Consecutive lists may come from platform replicas of different age. One list without an instance
+ * therefore does not remove it, which would assign its share of the connections to others.
  *
- * @param options.now - milliseconds on a clock that never goes back.
+ * @param options.now - monotonic time in milliseconds.
  * @public
  */
 export function mergeInstanceList(options: {
@@ -52,19 +51,19 @@
   const { view, instances, now } = options;
   const listed = instances
     .filter(({ name }) => name !== view.self.name)
-    .map((instance) => meetInstance(view, instance, now));
+    .map((instance) => mergeInstance(view, instance, now));
   const listedNames = new Set(instances.map(({ name }) => name));
   const missed = view.others
     .filter(({ instance }) => !listedNames.has(instance.name))
     .map((known) => ({ ...known, missedLists: known.missedLists + 1 }))
     .filter(({ missedLists }) => missedLists < MISSED_LISTS_LIMIT);
-  return { ...meetSelf(view, instances), others: [...listed, ...missed] };
+  return { ...mergeSelf(view, instances), others: [...listed, ...missed] };
 }
 
 /**
- * Takes in that an instance said it leaves, ahead of the list.
+ * Marks an instance as leaving before the platform lists it as leaving.
  *
- * @param options.now - milliseconds on a clock that never goes back.
+ * @param options.now - monotonic time in milliseconds.
  * @public
  */
 export function mergeLeaving(options: {
@@ -73,14 +72,14 @@
   now: number;
 }): InstanceView {
   const { view, name, now } = options;
-  const leavingUntil = now + LEAVING_MEMORY_MILLISECONDS;
+  const leavingUntil = now + LEAVING_OVERRIDE_MILLISECONDS;
   const others = view.others.map((known) =>
     known.instance.name === name ? { ...known, leavingUntil } : known,
   );
   return { ...view, others };
 }
 
-/** The instances of a view in the order of their names, those that leave marked as such. @public */
+/** Returns the instances of a view sorted by name, with announced departures applied. @public */
 export function instancesOf(view: InstanceView): Instance[] {
   const others = view.others.map(({ instance, leavingUntil }) =>
     leavingUntil === undefined ? instance : { ...instance, state: 'leaving' as const },
@@ -89,20 +88,19 @@
 }
 
 /**
- * An operator drains an instance by marking it in the list. The mark counts only after a list has
- * shown the instance live: a list from before it was started may still show the leaving of its
- * predecessor of the same name, and a fresh instance would stop at once.
+ * Applies a drain set by an operator, only once a list has shown the instance as live. An older list
+ * may still contain a leaving predecessor of the same name, which would stop the new instance.
  */
-function meetSelf(view: InstanceView, instances: readonly Instance[]): InstanceView {
+function mergeSelf(view: InstanceView, instances: readonly Instance[]): InstanceView {
   const state = instances.find(({ name }) => name === view.self.name)?.state;
   if (state === 'live') return { ...view, isSelfListed: true };
   if (state !== 'leaving' || !view.isSelfListed) return view;
   return { ...view, self: { ...view.self, state } };
 }
 
-function meetInstance(view: InstanceView, instance: Instance, now: number): KnownInstance {
+function mergeInstance(view: InstanceView, instance: Instance, now: number): KnownInstance {
   const known = view.others.find((other) => other.instance.name === instance.name);
   const leavingUntil = known?.leavingUntil;
-  const isOver = leavingUntil !== undefined && leavingUntil <= now;
-  return { instance, missedLists: 0, leavingUntil: isOver ? undefined : leavingUntil };
+  const hasExpired = leavingUntil !== undefined && leavingUntil <= now;
+  return { instance, missedLists: 0, leavingUntil: hasExpired ? undefined : leavingUntil };
 }
--- a/packages/core/src/lib/membership/rendezvous.ts
+++ b/packages/core/src/lib/membership/rendezvous.ts
@@ -1,24 +1,23 @@
 /* eslint-disable no-bitwise -- hashing is arithmetic on bits */
-/** Start and factor of the 32-bit FNV-1a hash. */
+/** Parameters of the 32-bit FNV-1a hash. */
 const FNV_OFFSET = 0x811c9dc5;
 const FNV_PRIME = 0x01000193;
 
-/** Factors of the finishing step of MurmurHash3, which spreads similar texts. */
+/** Factors of the MurmurHash3 finalizer, which separates the hashes of similar texts. */
 const MIX_FACTOR_1 = 0x85ebca6b;
 const MIX_FACTOR_2 = 0xc2b2ae35;
 
 /**
  * Orders names for a key by rendezvous hashing (highest random weight).
  *
- * Every instance that knows the same names finds the same order without a message. An instance that
- * comes or goes moves only the keys that it comes first for.
+ * The order depends only on the key, names and weights. Adding or removing a name does not change
+ * the order of the others.
  *
- * @param options.weightOf - share of the keys that a name should come first for, relative to the
- *   others'; 1 for each without it. Weighted as in logarithmic rendezvous hashing: a weight that
- *   changes moves keys to or from that name only.
+ * @param options.weightOf - relative share of keys for which a name comes first, by logarithmic
+ *   rendezvous hashing; 1 by default. Changing a weight moves keys only to or from that name.
  *
  * @example
- * orderByRendezvous({ key: 'archivio-1', names: ['p1', 'p2', 'p3'] })[0]; // who acts first
+ * orderByRendezvous({ key: 'archivio-1', names: ['p1', 'p2', 'p3'] })[0]; // first in order
  *
  * @public
  */
@@ -31,7 +30,7 @@
   return names
     .map((name) => ({
       name,
-      weight: weightOf(name) / -Math.log(unitOf(hashText(`${key}\n${name}`))),
+      weight: weightOf(name) / -Math.log(toUnitInterval(hashText(`${key}\n${name}`))),
     }))
     .sort(compareWeights)
     .map(({ name }) => name);
@@ -42,14 +41,14 @@
   weight: number;
 }
 
-/** Falls back to the name, so that two names of the same weight have one order everywhere. */
+/** Compares names of equal weight alphabetically, so that the order is the same on all instances. */
 function compareWeights(left: WeightedName, right: WeightedName): number {
   if (left.weight !== right.weight) return right.weight - left.weight;
   return left.name < right.name ? -1 : 1;
 }
 
-/** Number between 0 and 1, both left out. */
-function unitOf(hash: number): number {
+/** Maps a hash to the open interval (0, 1). */
+function toUnitInterval(hash: number): number {
   return (hash + 0.5) / 2 ** 32;
 }
 
--- a/packages/core/src/lib/membership/watchers.ts
+++ b/packages/core/src/lib/membership/watchers.ts
@@ -1,14 +1,14 @@
 import type { Instance } from '@wisterialift/schema';
 import { orderByRendezvous } from './rendezvous';
 
-/** Instances of each data centre that watch the platform for the others. @public */
+/** Number of instances per data centre that watch the platform for the others. @public */
 export const WATCHERS_PER_DATA_CENTRE = 2;
 
 /**
  * Chooses the instances of a data centre that watch the platform.
  *
- * Two instances whose lists differ may choose differently, so that for a while there are more or
- * fewer watchers than two. More cost calls; fewer cost time, bounded by the poll of every instance.
+ * While the lists of instances differ, there may be more or fewer watchers. With fewer, the regular
+ * poll of each instance bounds the delay of updates.
  *
  * @public
  */
--- a/packages/core/src/test/membership.test.ts
+++ b/packages/core/src/test/membership.test.ts
@@ -1,7 +1,7 @@
 import type { Instance } from '@wisterialift/schema';
 import { describe, expect, it } from 'vitest';
 import {
-  LEAVING_MEMORY_MILLISECONDS,
+  LEAVING_OVERRIDE_MILLISECONDS,
   chooseAudience,
   chooseSources,
   chooseWatchers,
@@ -36,7 +36,7 @@
   );
 }
 
-function namesOf(view: InstanceView): string[] {
+function describeInstances(view: InstanceView): string[] {
   return instancesOf(view).map(({ name, state }) => (state === 'live' ? name : `${name} leaving`));
 }
 
@@ -91,23 +91,25 @@
   const watcher = instances.find(({ name }) => watchers.includes(name))!;
   const other = instances.slice(0, 3).find(({ name }) => !watchers.includes(name))!;
 
-  function namesOfAudience(teller: Instance, source: ConfigurationSource): string[] {
-    return chooseAudience({ self: teller, instances, source }).map(({ name }) => name);
+  function listRecipientNames(sender: Instance, source: ConfigurationSource): string[] {
+    return chooseAudience({ self: sender, instances, source }).map(({ name }) => name);
   }
 
   it('is the own data centre and the watchers of the others, for a submitter', () => {
-    const farWatchers = chooseWatchers({ instances, dataCentre: 'mestre-dc' });
-    expect(namesOfAudience(self, 'patch').sort()).toEqual(['p2', 'p3', ...farWatchers].sort());
+    const remoteWatchers = chooseWatchers({ instances, dataCentre: 'mestre-dc' });
+    expect(listRecipientNames(self, 'patch').sort()).toEqual(
+      ['p2', 'p3', ...remoteWatchers].sort(),
+    );
   });
 
   it('is whoever does not watch in the own data centre, for a watcher', () => {
-    expect(namesOfAudience(watcher, 'platform')).toEqual([other.name]);
-    expect(namesOfAudience(watcher, 'peer')).toEqual([other.name]);
+    expect(listRecipientNames(watcher, 'platform')).toEqual([other.name]);
+    expect(listRecipientNames(watcher, 'peer')).toEqual([other.name]);
   });
 
   it('is nobody for one that was told by a watcher, and all for one that had to ask itself', () => {
-    expect(namesOfAudience(other, 'peer')).toEqual([]);
-    expect(namesOfAudience(other, 'platform').sort()).toEqual([...watchers].sort());
+    expect(listRecipientNames(other, 'peer')).toEqual([]);
+    expect(listRecipientNames(other, 'platform').sort()).toEqual([...watchers].sort());
   });
 
   it('asks the watchers of its data centre, and watches itself when it knows of none', () => {
@@ -124,13 +126,17 @@
    * p3 seems to go and come back. Its connections would be given to others while it still holds them.
    */
   it('keeps an instance that a single list does not name', () => {
-    expect(namesOf(viewAfter([['p2', 'p3'], ['p2']]))).toEqual(['p1', 'p2', 'p3']);
-    expect(namesOf(viewAfter([['p2', 'p3'], ['p2'], ['p2']]))).toEqual(['p1', 'p2']);
-    expect(namesOf(viewAfter([['p2', 'p3'], ['p2'], ['p3'], ['p2']]))).toEqual(['p1', 'p2', 'p3']);
+    expect(describeInstances(viewAfter([['p2', 'p3'], ['p2']]))).toEqual(['p1', 'p2', 'p3']);
+    expect(describeInstances(viewAfter([['p2', 'p3'], ['p2'], ['p2']]))).toEqual(['p1', 'p2']);
+    expect(describeInstances(viewAfter([['p2', 'p3'], ['p2'], ['p3'], ['p2']]))).toEqual([
+      'p1',
+      'p2',
+      'p3',
+    ]);
   });
 
   it('holds the instance itself though no list names it yet', () => {
-    expect(namesOf(viewAfter([[]]))).toEqual(['p1']);
+    expect(describeInstances(viewAfter([[]]))).toEqual(['p1']);
   });
 
   /*
@@ -142,8 +148,10 @@
     const merge = (view: InstanceView, instances: Instance[]): InstanceView =>
       mergeInstanceList({ view, instances, now: 0 });
     const fresh = merge(createInstanceView(instance('p1')), drained);
-    expect(namesOf(fresh)).toEqual(['p1']);
-    expect(namesOf(merge(merge(fresh, [instance('p1')]), drained))).toEqual(['p1 leaving']);
+    expect(describeInstances(fresh)).toEqual(['p1']);
+    expect(describeInstances(merge(merge(fresh, [instance('p1')]), drained))).toEqual([
+      'p1 leaving',
+    ]);
   });
 
   /*
@@ -152,12 +160,12 @@
    */
   it('believes an announced leaving against an older list, for a while', () => {
     const left = mergeLeaving({ view: viewAfter([['p2']]), name: 'p2', now: 0 });
-    expect(namesOf(viewAfter([['p2']], left))).toEqual(['p1', 'p2 leaving']);
+    expect(describeInstances(viewAfter([['p2']], left))).toEqual(['p1', 'p2 leaving']);
     const later = mergeInstanceList({
       view: left,
       instances: [instance('p2')],
-      now: LEAVING_MEMORY_MILLISECONDS,
+      now: LEAVING_OVERRIDE_MILLISECONDS,
     });
-    expect(namesOf(later)).toEqual(['p1', 'p2']);
+    expect(describeInstances(later)).toEqual(['p1', 'p2']);
   });
 });
