--- a/packages/core/src/lib/reads/floorRounds.ts
+++ b/packages/core/src/lib/reads/floorRounds.ts
@@ -3,39 +3,37 @@
 import { lowestMajorityEnd } from '../engine/memberTable';
 import type { Member, MemberTable } from '../engine/memberTable';
 
-/** One look at the group that serves every read which arrived before its first question. @internal */
+/** A round of status queries shared by all reads that arrived before its first query. @internal */
 export interface FloorRound {
-  /** Answers count from this question on. */
+  /** First status query of the round; earlier answers are ignored. */
   firstQuestionId: number;
-  /** A member that has applied this shows every write acknowledged before the round. */
+  /** Upper bound of the writes acknowledged before the round; undefined until a majority answers. */
   floor: Position | undefined;
-  /** Highest term that an answer of the round carried. */
+  /** Highest term reported in the round. */
   term: number;
-  /** Reads that still need the round. */
+  /** Number of reads that use the round. */
   readers: number;
 }
 
 /** @internal */
 export interface FloorRounds {
-  /** The round for a read that arrives now. */
+  /** Returns the round for a new read; the caller must later call `leave`. */
   join: (nextQuestionId: number) => FloorRound;
   leave: (round: FloorRound) => void;
-  /** Takes a new answer into account. */
+  /** Updates the rounds with a new answer. */
   onAnswered: (member: Member) => void;
-  /** First question of the newest round that has no floor yet; 0 when there is none. */
+  /** First status query of the newest round without a floor; 0 if there is none. */
   newestOpen: () => number;
 }
 
 /**
- * Creates the rounds that give a read without a token its floor.
+ * Creates the rounds that determine the minimum position for reads without a token.
  *
- * Guards against a session that wrote through one instance and reads through another: its write
- * would be missing from the answer of a lagging replica. The write was acknowledged before the read
- * arrived, so a majority holds it; the round asks after the arrival, and of every majority among the
- * answers at least one member holds it.
+ * This preserves read-your-writes for a session that writes through one instance and reads through
+ * another. A write acknowledged before the read is held by a majority, which overlaps with any
+ * majority that answers a query sent after the read arrived.
  *
- * The floor of a round only falls: each further majority proves a bound of its own, and the lowest
- * one is enough.
+ * Further answers can only lower the floor, since the bound of each majority is sufficient.
  *
  * @internal
  */
--- a/packages/core/src/lib/reads/readRouter.ts
+++ b/packages/core/src/lib/reads/readRouter.ts
@@ -3,16 +3,16 @@
 import { shows } from '../engine/history';
 import type { Member } from '../engine/memberTable';
 
-/** What a member must show to serve a read. @internal */
-export interface ReadNeed {
-  /** Position that the member must have applied; undefined while it is not known. */
+/** Conditions that a member must meet to serve a read. @internal */
+export interface ReadRequirement {
+  /** Minimum applied position; undefined while unknown. */
   floor: Position | undefined;
-  /** The data may be as old as this time; undefined where age gives no right to serve. */
-  notBefore: number | undefined;
-  /** The session's own token, needed also where age alone would do. */
+  /** Oldest accepted time of the data in milliseconds; undefined if stale reads are not allowed. */
+  freshSince: number | undefined;
+  /** Position of the session token, required even for stale reads. */
   token: Position | undefined;
-  /** Member that failed the attempt before, avoided while another one serves. */
-  avoid: string | undefined;
+  /** Member that failed the previous attempt; used only if no other member is eligible. */
+  avoidedMember: string | undefined;
 }
 
 /** @internal */
@@ -21,68 +21,73 @@
   by: 'token' | 'floor' | 'staleness';
 }
 
-/** How good a member is for a read: lower goes first. */
-interface Choice extends ReadRoute {
+/** A route with its preference; lower ranks are preferred. */
+interface RankedRoute extends ReadRoute {
   rank: number;
   running: number;
 }
 
-const OWN_REPLICA = 0;
-const OTHER_REPLICA = 1;
-const PRIMARY = 2;
-const AVOIDED = 4;
+const LOCAL_REPLICA_RANK = 0;
+const REMOTE_REPLICA_RANK = 1;
+const PRIMARY_RANK = 2;
+const AVOIDED_MEMBER_PENALTY = 4;
 
 /**
- * Chooses the member for a read among those that have a free place.
+ * Chooses the member for a read among candidates with free capacity.
  *
- * Replicas of the own data centre go first, then the other replicas, the primary last; among equals
- * the one with the fewest statements running.
+ * Prefers replicas in the same data centre, then other replicas, then the primary, and among equals
+ * the member with the fewest running statements.
  *
- * @returns undefined when no member with a free place may serve it.
+ * @returns undefined if no candidate is eligible.
  * @internal
  */
 export function chooseReadMember(options: {
   candidates: readonly Member[];
-  need: ReadNeed;
+  read: ReadRequirement;
   dataCentre: string;
   primary: Member | undefined;
-  /** Statements that run at the member. */
+  /** Returns the number of statements running at a member. */
   runningAt: (member: Member) => number;
 }): ReadRoute | undefined {
-  const { candidates, need, dataCentre, primary, runningAt } = options;
-  let best: Choice | undefined;
+  const { candidates, read, dataCentre, primary, runningAt } = options;
+  let best: RankedRoute | undefined;
   for (const member of candidates) {
-    const by = servesBy(member, need);
+    const by = findReadEligibility(member, read);
     if (!by) continue;
-    const rank = rankOf(member, dataCentre, primary, need.avoid);
+    const rank = computeRank(member, dataCentre, primary, read.avoidedMember);
     const choice = { member, by, rank, running: runningAt(member) };
     if (!best || isBetter(choice, best)) best = choice;
   }
   return best;
 }
 
-/** On what ground the member may serve the read; undefined when it may not. @internal */
-export function servesBy(member: Member, need: ReadNeed): ReadRoute['by'] | undefined {
+/** Returns the condition by which a member may serve a read; undefined if it may not. @internal */
+export function findReadEligibility(
+  member: Member,
+  read: ReadRequirement,
+): ReadRoute['by'] | undefined {
   const { status } = member;
   if (!status) return undefined;
-  if (need.token && !shows(status, need.token)) return undefined;
-  if (need.notBefore !== undefined && member.freshAsOf >= need.notBefore) return 'staleness';
-  if (need.floor && isAtMost(need.floor, status.applied)) return need.token ? 'token' : 'floor';
+  if (read.token && !shows(status, read.token)) return undefined;
+  if (read.freshSince !== undefined && member.freshAsOf >= read.freshSince) return 'staleness';
+  if (read.floor && isAtMost(read.floor, status.applied)) return read.token ? 'token' : 'floor';
   return undefined;
 }
 
-function rankOf(
+function computeRank(
   member: Member,
   dataCentre: string,
   primary: Member | undefined,
-  avoid: string | undefined,
+  avoidedMember: string | undefined,
 ): number {
-  const penalty = member.name === avoid ? AVOIDED : 0;
-  if (member === primary) return PRIMARY + penalty;
-  return (member.database.dataCentre === dataCentre ? OWN_REPLICA : OTHER_REPLICA) + penalty;
+  const penalty = member.name === avoidedMember ? AVOIDED_MEMBER_PENALTY : 0;
+  if (member === primary) return PRIMARY_RANK + penalty;
+  return (
+    (member.database.dataCentre === dataCentre ? LOCAL_REPLICA_RANK : REMOTE_REPLICA_RANK) + penalty
+  );
 }
 
-function isBetter(choice: Choice, best: Choice): boolean {
+function isBetter(choice: RankedRoute, best: RankedRoute): boolean {
   if (choice.rank !== best.rank) return choice.rank < best.rank;
   return choice.running < best.running;
 }
--- a/packages/core/src/lib/reads/stalenessSamples.ts
+++ b/packages/core/src/lib/reads/stalenessSamples.ts
@@ -3,49 +3,48 @@
 import type { Member, MemberTable } from '../engine/memberTable';
 
 interface Sample {
-  /** Every write acknowledged before this time is contained in `position`. */
+  /** Time in milliseconds before which every acknowledged write is covered by `position`. */
   at: number;
   position: Position;
 }
 
-/** Samples closer together than this replace one another. */
-const SAMPLE_SPACING_MILLISECONDS = 10;
-/** Answers that come closer together than this share a sample. */
-const SAMPLE_INTERVAL_MILLISECONDS = 2;
+/** Samples closer together than this replace each other. */
+const RETAINED_SAMPLE_SPACING_MILLISECONDS = 10;
+/** Answers within this time of the last sample do not create a new one. */
+const MINIMUM_SAMPLE_INTERVAL_MILLISECONDS = 2;
 const MAXIMUM_SAMPLES = 2_048;
 
-/** Bounds on the age of what each member shows. @internal */
+/** Tracks an upper bound for the staleness of each member. @internal */
 export interface StalenessSamples {
-  /** Takes a new answer into account and brings the member's `freshAsOf` up to date. */
+  /** Records a new answer and updates the member's `freshAsOf`. */
   onAnswered: (member: Member, now: number) => void;
 }
 
 /**
- * Creates the samples that bound the age of a member's data without other machines' clocks.
+ * Creates the samples that bound the staleness of members using only the local clock.
  *
- * A sample says: what a majority held when it was asked at time t. A member that has applied that
- * much shows every write acknowledged before t, so at a later time its data is at most now - t old.
- * A lagging member keeps an old bound and drops out once a kind's accepted age is exceeded.
+ * A sample records the log position of a majority that was queried at time t. A member that has
+ * applied this position contains every write acknowledged before t.
  *
  * @internal
  */
 export function createStalenessSamples(members: MemberTable): StalenessSamples {
-  /** Rising in time and in position: a newer sample at or below an older one makes it needless. */
+  /** Sorted by time and position; a newer sample replaces older ones at or above its position. */
   const samples: Sample[] = [];
 
-  let sampledAt = Number.NEGATIVE_INFINITY;
+  let lastSampleAt = Number.NEGATIVE_INFINITY;
 
   function onAnswered(member: Member, now: number): void {
-    if (now - sampledAt >= SAMPLE_INTERVAL_MILLISECONDS) sample(now);
-    refresh(member, samples);
+    if (now - lastSampleAt >= MINIMUM_SAMPLE_INTERVAL_MILLISECONDS) recordSample(now);
+    updateFreshness(member, samples);
   }
 
-  function sample(now: number): void {
+  function recordSample(now: number): void {
     const taken = takeSample(members);
     if (!taken) return;
-    sampledAt = now;
+    lastSampleAt = now;
     addSample(samples, taken);
-    members.list().forEach((member) => refresh(member, samples));
+    members.list().forEach((member) => updateFreshness(member, samples));
   }
 
   return { onAnswered };
@@ -69,27 +68,27 @@
     samples.pop();
   }
   const beforeLast = samples.at(-2);
-  if (beforeLast && sample.at - beforeLast.at < SAMPLE_SPACING_MILLISECONDS) samples.pop();
+  if (beforeLast && sample.at - beforeLast.at < RETAINED_SAMPLE_SPACING_MILLISECONDS) samples.pop();
   samples.push(sample);
-  if (samples.length > MAXIMUM_SAMPLES) thinOut(samples);
+  if (samples.length > MAXIMUM_SAMPLES) thinOlderSamples(samples);
 }
 
-/** Drops every second sample of the older half: old bounds get coarser, never wrong. */
-function thinOut(samples: Sample[]): void {
+/** Removes every second sample of the older half; the bounds become coarser but stay valid. */
+function thinOlderSamples(samples: Sample[]): void {
   const half = Math.floor(samples.length / 2);
   const kept = samples.slice(0, half).filter((_, index) => index % 2 === 0);
   samples.splice(0, half, ...kept);
 }
 
-function refresh(member: Member, samples: Sample[]): void {
+function updateFreshness(member: Member, samples: Sample[]): void {
   const { status } = member;
   if (!status) return;
-  const sample = findNewestWithin(samples, status.applied);
+  const sample = findNewestApplied(samples, status.applied);
   if (sample && sample.at > member.freshAsOf) Object.assign(member, { freshAsOf: sample.at });
 }
 
-/** The newest sample at or below the position, by halving: a member far behind must not cost a walk. */
-function findNewestWithin(samples: Sample[], applied: Position): Sample | undefined {
+/** Finds the newest sample at or below the applied position by binary search. */
+function findNewestApplied(samples: Sample[], applied: Position): Sample | undefined {
   let low = 0;
   let high = samples.length;
   while (low < high) {
--- a/packages/core/src/lib/routing/requestRouter.ts
+++ b/packages/core/src/lib/routing/requestRouter.ts
@@ -5,51 +5,51 @@
 import type { Member } from '../engine/memberTable';
 import type { RequestContext } from '../engine/requestContext';
 import type { TrackedRequest } from '../engine/requestTable';
-import { chooseReadMember, servesBy } from '../reads/readRouter';
-import type { ReadNeed, ReadRoute } from '../reads/readRouter';
+import { chooseReadMember, findReadEligibility } from '../reads/readRouter';
+import type { ReadRequirement, ReadRoute } from '../reads/readRouter';
 
-/** How long a read rather waits for a replica that keeps up than goes to the primary. */
-const READ_PATIENCE_MILLISECONDS = 50;
-/** Failed questions in a row after which a member gets no new work. */
-const FAILURES_OF_AN_UNUSABLE_MEMBER = 2;
+/** How long a read waits for an up-to-date replica before it is sent to the primary. */
+const REPLICA_WAIT_MILLISECONDS = 50;
+/** Consecutive failed status queries after which a member gets no new requests. */
+const UNUSABLE_MEMBER_FAILURES = 2;
 
 /** @internal */
 export interface RequestRouter {
-  /** Members that reads may go to now, with a place each. */
+  /** Returns the usable members with free capacity for reads. */
   readCandidates: (now: number) => Member[];
   routeRead: (request: TrackedRequest, candidates: Member[], now: number) => ReadRoute | undefined;
-  /** The member that writes go to; undefined while there is none that may acknowledge them. */
+  /** Returns the primary for writes; undefined while none can acknowledge them. */
   usablePrimary: (now: number) => Member | undefined;
   mayRunAtPrimary: (request: TrackedRequest, primary: Member) => boolean;
-  /** Whether some member may serve the read now, if it has a place. */
+  /** Whether any member is eligible for the read, regardless of its capacity. */
   isServable: (request: TrackedRequest, now: number) => boolean;
-  /** Why the request has not been sent so far. */
+  /** Returns the reason why a queued request has not been sent. */
   reasonOf: (request: TrackedRequest, now: number) => NotRunReason;
   isSilent: (member: Member, now: number) => boolean;
-  /** Whether requests wait for something that answers of members can bring about. */
+  /** Whether queued requests depend on new answers of members. */
   waitsForMembers: (now: number) => boolean;
 }
 
 /**
- * Creates the choice of the member that a request goes to.
+ * Creates the router that selects a member for each request.
  *
  * @internal
  */
 export function createRequestRouter(context: RequestContext): RequestRouter {
   const { policy, dataCentre, members, places, requests, reads, changes, holdsWrites } = context;
 
-  function needOf(request: TrackedRequest, now: number): ReadNeed {
+  function createRequirement(request: TrackedRequest, now: number): ReadRequirement {
     const staleness = request.maximumStalenessMilliseconds;
     return {
       floor: staleness === 0 ? (request.token ?? request.round?.floor) : request.round?.floor,
-      notBefore: staleness > 0 ? now - staleness : undefined,
+      freshSince: staleness > 0 ? now - staleness : undefined,
       token: request.token,
-      avoid: request.avoid,
+      avoidedMember: request.avoid,
     };
   }
 
   function isUsable(member: Member, now: number): boolean {
-    if (member.failedQuestions >= FAILURES_OF_AN_UNUSABLE_MEMBER) return false;
+    if (member.failedQuestions >= UNUSABLE_MEMBER_FAILURES) return false;
     if (now < member.avoidUntil) return false;
     return hasAnswered(member, policy.suspicionMilliseconds, now);
   }
@@ -68,42 +68,41 @@
     now: number,
   ): ReadRoute | undefined {
     const primary = members.primary();
-    const need = needOf(request, now);
+    const read = createRequirement(request, now);
     const route = chooseReadMember({
       candidates,
-      need,
+      read,
       dataCentre,
       primary,
       runningAt: places.running,
     });
     if (!route || route.member !== primary) return route;
-    return isPatient(request, primary, now) ? undefined : route;
+    return isWaitingForReplica(request, primary, now) ? undefined : route;
   }
 
-  /** The primary goes last: a replica that keeps up is given a moment, one that lags is not. */
-  function isPatient(request: TrackedRequest, primary: Member, now: number): boolean {
+  /** Reads wait briefly for an up-to-date replica, but not for a lagging one. */
+  function isWaitingForReplica(request: TrackedRequest, primary: Member, now: number): boolean {
     if (request.patienceUntil === undefined) {
-      const half = (request.deadlineAt - now) / 2;
-      request.patienceUntil = now + Math.min(READ_PATIENCE_MILLISECONDS, half);
+      const halfOfRemainingTime = (request.deadlineAt - now) / 2;
+      request.patienceUntil = now + Math.min(REPLICA_WAIT_MILLISECONDS, halfOfRemainingTime);
       requests.wakeAt(request, request.patienceUntil);
     }
     if (now >= request.patienceUntil) return false;
     return members.list().some((member) => {
       if (member === primary || member.database.leaving || !isUsable(member, now)) return false;
-      return keepsUp(member) || isAwaited(member, request);
+      return isCaughtUp(member) || hasPendingAnswer(member, request);
     });
   }
 
-  function keepsUp(member: Member): boolean {
-    return member.statusAskedAt - member.freshAsOf <= READ_PATIENCE_MILLISECONDS;
+  function isCaughtUp(member: Member): boolean {
+    return member.statusAskedAt - member.freshAsOf <= REPLICA_WAIT_MILLISECONDS;
   }
 
-  /** The member's answer to the round may still lower the floor to what a replica has applied. */
-  function isAwaited(member: Member, { round }: TrackedRequest): boolean {
+  /** A pending answer may still lower the floor of the round to a replica's position. */
+  function hasPendingAnswer(member: Member, { round }: TrackedRequest): boolean {
     return round !== undefined && member.statusQuestionId < round.firstQuestionId;
   }
 
-  /** The member that writes go to; undefined while there is none that may acknowledge them. */
   function usablePrimary(now: number): Member | undefined {
     if (holdsWrites()) return undefined;
     const primary = members.primary();
@@ -116,7 +115,7 @@
 
   function mayRunAtPrimary(request: TrackedRequest, primary: Member): boolean {
     const { round, token } = request;
-    // The session has seen a later primary's log; this one was replaced and only does not know it.
+    // The session has seen a higher term, so this primary has been replaced.
     if (token && token.term > termOf(primary)) return false;
     if (request.access === 'write') return true;
     const { status } = primary;
@@ -125,7 +124,7 @@
   }
 
   function isSilent(member: Member, now: number): boolean {
-    const isFailing = member.failedQuestions >= FAILURES_OF_AN_UNUSABLE_MEMBER;
+    const isFailing = member.failedQuestions >= UNUSABLE_MEMBER_FAILURES;
     return isFailing && now - member.silentSince >= policy.suspicionMilliseconds;
   }
 
@@ -142,8 +141,8 @@
   }
 
   function isServable(request: TrackedRequest, now: number): boolean {
-    const need = needOf(request, now);
-    return members.list().some((member) => servesBy(member, need) !== undefined);
+    const read = createRequirement(request, now);
+    return members.list().some((member) => findReadEligibility(member, read) !== undefined);
   }
 
   return {
