--- a/packages/core/src/lib/session/classifyStatement.ts
+++ b/packages/core/src/lib/session/classifyStatement.ts
@@ -1,5 +1,5 @@
 import { parseSet } from './parseSet';
-import { firstWordOf, tokenizeSql, type SqlToken } from './sqlTokens';
+import { readFirstWord, tokenizeSql, type SqlToken } from './sqlTokens';
 import { parseStatementOptions } from './statementOptions';
 import type { Statement, StatementRequest, VariableColumn } from './statement';
 
@@ -8,12 +8,14 @@
 const LOCKING_READ: StatementRequest = { type: 'lockingRead' };
 const DEFINITION: StatementRequest = { type: 'definition' };
 
-const unsupported = (feature: string): StatementRequest => ({ type: 'unsupported', feature });
+const asUnsupported = (feature: string): StatementRequest => ({
+  type: 'unsupported',
+  feature,
+});
 
 /**
- * Functions that belong to one database connection, or that change something.
- *
- * Connections are shared between callers, so these would act on whoever comes next.
+ * Functions that depend on connection state or have side effects; unsupported because connections
+ * are shared between callers.
  */
 const connectionFunctions = new Set([
   'GET_LOCK',
@@ -35,9 +37,9 @@
   'LAST_INSERT_ID',
 ]);
 
-type Classify = (sql: string) => StatementRequest;
+type StatementClassifier = (sql: string) => StatementRequest;
 
-const classifiersByWord: Record<string, Classify> = {
+const classifiersByWord: Record<string, StatementClassifier> = {
   SELECT: classifySelect,
   WITH: classifySelect,
   TABLE: classifySelect,
@@ -69,7 +71,7 @@
   UPDATE: classifyChange,
   DELETE: classifyChange,
   CREATE: (sql) =>
-    /^\s*CREATE\s+TEMPORARY\b/i.test(sql) ? unsupported('a temporary table') : DEFINITION,
+    /^\s*CREATE\s+TEMPORARY\b/i.test(sql) ? asUnsupported('a temporary table') : DEFINITION,
   ALTER: () => DEFINITION,
   DROP: () => DEFINITION,
   RENAME: () => DEFINITION,
@@ -79,33 +81,31 @@
   ANALYZE: () => DEFINITION,
   OPTIMIZE: () => DEFINITION,
   REPAIR: () => DEFINITION,
-  LOCK: () => unsupported('LOCK TABLES'),
-  UNLOCK: () => unsupported('UNLOCK TABLES'),
-  PREPARE: () => unsupported('PREPARE as text (use the protocol)'),
-  EXECUTE: () => unsupported('EXECUTE as text (use the protocol)'),
-  DEALLOCATE: () => unsupported('DEALLOCATE as text (use the protocol)'),
-  XA: () => unsupported('XA'),
-  HANDLER: () => unsupported('HANDLER'),
-  LOAD: () => unsupported('LOAD DATA'),
-  GROUP: () => unsupported('control of the group'),
+  LOCK: () => asUnsupported('LOCK TABLES'),
+  UNLOCK: () => asUnsupported('UNLOCK TABLES'),
+  PREPARE: () => asUnsupported('PREPARE as text (use the protocol)'),
+  EXECUTE: () => asUnsupported('EXECUTE as text (use the protocol)'),
+  DEALLOCATE: () => asUnsupported('DEALLOCATE as text (use the protocol)'),
+  XA: () => asUnsupported('XA'),
+  HANDLER: () => asUnsupported('HANDLER'),
+  LOAD: () => asUnsupported('LOAD DATA'),
+  GROUP: () => asUnsupported('control of the group'),
 };
 
 /**
- * Tells what a statement asks of the proxy; a statement of an unknown form is a write.
- *
- * A write that is taken for a read would run on a replica, which refuses it; a read that is taken for
- * a write only costs more. So doubt goes to the primary.
+ * Classifies a statement. Unknown statements are writes, because the primary can run any statement
+ * while a replica refuses writes.
  *
  * @example
  * classifyStatement('SELECT 1').request // { type: 'read' }
  * @public
  */
 export function classifyStatement(sql: string): Statement {
-  const classify = classifiersByWord[firstWordOf(sql)];
+  const classify = classifiersByWord[readFirstWord(sql)];
   return { request: classify ? classify(sql) : WRITE, options: parseStatementOptions(sql) };
 }
 
-function significantTokens(sql: string): SqlToken[] {
+function tokenizeStatement(sql: string): SqlToken[] {
   const tokens = tokenizeSql(sql);
   while (tokens.at(-1)?.value === ';') tokens.pop();
   return tokens;
@@ -113,30 +113,30 @@
 
 function classifyExact(
   sql: string,
-  form: RegExp,
+  pattern: RegExp,
   request: StatementRequest,
-  otherwise: string,
+  unsupportedFeature: string,
 ): StatementRequest {
-  const words = significantTokens(sql).map(({ value }) => value);
-  return form.test(words.join(' ')) ? request : unsupported(otherwise);
+  const words = tokenizeStatement(sql).map(({ value }) => value);
+  return pattern.test(words.join(' ')) ? request : asUnsupported(unsupportedFeature);
 }
 
 const RETURNING = /\bRETURNING\b/i;
 
 /**
- * Guards against acknowledging a change whose position is not known: an answer that ends with rows
- * names no log entry, so nobody could tell whether a majority has it.
+ * Rejects RETURNING: an answer that ends with rows carries no log position, so the write could not be
+ * confirmed by a majority.
  */
 function classifyChange(sql: string): StatementRequest {
   if (!RETURNING.test(sql)) return WRITE;
   const isReturning = tokenizeSql(sql).some(
     ({ type, value }) => type === 'word' && value === 'RETURNING',
   );
-  return isReturning ? unsupported('RETURNING') : WRITE;
+  return isReturning ? asUnsupported('RETURNING') : WRITE;
 }
 
 function classifyRollback(sql: string): StatementRequest {
-  const words = significantTokens(sql).map(({ value }) => value);
+  const words = tokenizeStatement(sql).map(({ value }) => value);
   if (words.includes('TO')) return WRITE;
   return classifyExact(
     sql,
@@ -147,22 +147,22 @@
 }
 
 function classifySet(sql: string): StatementRequest {
-  const assignments = parseSet(significantTokens(sql));
-  return assignments ? { type: 'set', assignments } : unsupported('this form of SET');
+  const assignments = parseSet(tokenizeStatement(sql));
+  return assignments ? { type: 'set', assignments } : asUnsupported('this form of SET');
 }
 
 function classifyUse(sql: string): StatementRequest {
-  const [, name, ...rest] = significantTokens(sql);
-  if (!name || rest.length > 0) return unsupported('this form of USE');
+  const [, name, ...rest] = tokenizeStatement(sql);
+  if (!name || rest.length > 0) return asUnsupported('this form of USE');
   return { type: 'use', group: name.type === 'word' ? name.text : name.value };
 }
 
 function classifyShow(sql: string): StatementRequest {
-  const tokens = significantTokens(sql);
+  const tokens = tokenizeStatement(sql);
   const words = tokens.map(({ value }) => value);
   const [, second, third] = words;
-  if (second === 'GROUP') return unsupported('control of the group');
-  if (second === 'WARNINGS' || second === 'ERRORS') return unsupported(`SHOW ${second}`);
+  if (second === 'GROUP') return asUnsupported('control of the group');
+  if (second === 'WARNINGS' || second === 'ERRORS') return asUnsupported(`SHOW ${second}`);
   if (second === 'VARIABLES' || third === 'VARIABLES') {
     const pattern = tokens.find(({ type }) => type === 'string')?.value ?? '%';
     return { type: 'showVariables', pattern };
@@ -171,11 +171,11 @@
 }
 
 function classifySelect(sql: string): StatementRequest {
-  const tokens = significantTokens(sql);
-  return selectedVariables(tokens) ?? classifyQuery(tokens);
+  const tokens = tokenizeStatement(sql);
+  return parseSelectedVariables(tokens) ?? classifyQuery(tokens);
 }
 
-/** Words that make a query change or store something, also when they stand deep inside it. */
+/** Words that make a query a write at any nesting depth. */
 const changingWords = new Set(['INTO', 'UPDATE', 'DELETE', 'INSERT', 'REPLACE', 'CALL']);
 
 function classifyQuery(tokens: SqlToken[]): StatementRequest {
@@ -183,10 +183,10 @@
   for (let index = 0; index < tokens.length; index += 1) {
     const { type, value } = tokens[index] as SqlToken;
     const next = tokens[index + 1]?.value;
-    if (value === ';') return unsupported('more than one statement at a time');
-    if (value === ':=') return unsupported('a user variable');
+    if (value === ';') return asUnsupported('more than one statement at a time');
+    if (value === ':=') return asUnsupported('a user variable');
     if (type === 'word' && next === '(' && connectionFunctions.has(value)) {
-      return unsupported(value);
+      return asUnsupported(value);
     }
     if (isLockingClause(value, next)) request = LOCKING_READ;
     const isLock = value === 'UPDATE' && tokens[index - 1]?.value === 'FOR';
@@ -200,14 +200,14 @@
   return value === '/*!' || (value === 'LOCK' && next === 'IN');
 }
 
-/** Reads `SELECT @@name [AS label], function() ...`; undefined where a database has to answer. */
-function selectedVariables(tokens: SqlToken[]): StatementRequest | undefined {
-  const [select, ...list] = withoutLimit(tokens);
+/** Parses `SELECT @@name [AS label], function() ...`; undefined for queries that need a database. */
+function parseSelectedVariables(tokens: SqlToken[]): StatementRequest | undefined {
+  const [select, ...list] = removeLimit(tokens);
   if (select?.value !== 'SELECT') return undefined;
   const columns: VariableColumn[] = [];
   let rest = list;
   while (rest.length > 0) {
-    const item = readItem(rest);
+    const item = parseSelectItem(rest);
     if (!item) return undefined;
     columns.push(item.column);
     rest = rest.slice(item.length);
@@ -217,17 +217,17 @@
   return columns.length > 0 ? { type: 'selectVariables', columns } : undefined;
 }
 
-function withoutLimit(tokens: SqlToken[]): SqlToken[] {
+function removeLimit(tokens: SqlToken[]): SqlToken[] {
   return tokens.at(-2)?.value === 'LIMIT' ? tokens.slice(0, -2) : tokens;
 }
 
-interface Item {
+interface SelectItem {
   column: VariableColumn;
-  /** Number of elements that the item takes. */
+  /** Number of tokens in the item. */
   length: number;
 }
 
-function readItem(tokens: SqlToken[]): Item | undefined {
+function parseSelectItem(tokens: SqlToken[]): SelectItem | undefined {
   const [first, second, third] = tokens;
   if (!first) return undefined;
   if (first.type === 'variable' && first.value.startsWith('@@')) {
@@ -245,7 +245,7 @@
   });
 }
 
-function withLabel(tokens: SqlToken[], length: number, column: VariableColumn): Item {
+function withLabel(tokens: SqlToken[], length: number, column: VariableColumn): SelectItem {
   const next = tokens[length];
   const label = next?.value === 'AS' ? tokens[length + 1] : next;
   if (!label || label.type === 'symbol') return { column, length };
--- a/packages/core/src/lib/session/parseSet.ts
+++ b/packages/core/src/lib/session/parseSet.ts
@@ -10,10 +10,10 @@
 };
 
 /**
- * Reads the assignments of a SET statement.
+ * Parses the assignments of a SET statement.
  *
- * @param tokens - the statement's elements, SET included.
- * @returns undefined where the statement has another form.
+ * @param tokens - tokens of the statement, including SET.
+ * @returns undefined if the syntax is not supported.
  * @internal
  */
 export function parseSet(tokens: SqlToken[]): Assignment[] | undefined {
@@ -36,28 +36,31 @@
 function parseAssignment(tokens: SqlToken[]): Assignment | undefined {
   const [first, second] = tokens;
   if (!first) return undefined;
-  if (first.value === 'NAMES' && second) return toNames(second);
-  if (first.value === 'CHARSET' && second) return toNames(second);
+  if (first.value === 'NAMES' && second) return createNamesAssignment(second);
+  if (first.value === 'CHARSET' && second) return createNamesAssignment(second);
   if (first.value === 'CHARACTER' && second?.value === 'SET' && tokens[2]) {
-    return toNames(tokens[2]);
+    return createNamesAssignment(tokens[2]);
   }
   if (tokens.slice(0, 2).some(({ value }) => value === 'TRANSACTION')) {
-    return { scope: 'transaction', name: 'transaction', value: textOf(tokens) };
+    return { scope: 'transaction', name: 'transaction', value: joinText(tokens) };
   }
   const scope = first.type === 'word' ? scopesByWord[first.value] : undefined;
-  return parseNamed(scope ? tokens.slice(1) : tokens, scope ?? 'session');
+  return parseVariableAssignment(scope ? tokens.slice(1) : tokens, scope ?? 'session');
 }
 
-function toNames(charset: SqlToken): Assignment {
+function createNamesAssignment(charset: SqlToken): Assignment {
   return { scope: 'names', name: 'names', value: charset.value.toLowerCase() };
 }
 
-function parseNamed(tokens: SqlToken[], scope: Assignment['scope']): Assignment | undefined {
-  const [target, sign, ...value] = tokens;
-  if (!target || (sign?.value !== '=' && sign?.value !== ':=') || value.length === 0) {
+function parseVariableAssignment(
+  tokens: SqlToken[],
+  scope: Assignment['scope'],
+): Assignment | undefined {
+  const [target, operator, ...value] = tokens;
+  if (!target || (operator?.value !== '=' && operator?.value !== ':=') || value.length === 0) {
     return undefined;
   }
-  return { ...parseTarget(target, scope), value: valueOf(value) };
+  return { ...parseTarget(target, scope), value: readValue(value) };
 }
 
 function parseTarget(
@@ -73,11 +76,11 @@
   return { scope, name };
 }
 
-function valueOf(tokens: SqlToken[]): string {
+function readValue(tokens: SqlToken[]): string {
   const [only] = tokens;
-  return tokens.length === 1 && only?.type === 'string' ? only.value : textOf(tokens);
+  return tokens.length === 1 && only?.type === 'string' ? only.value : joinText(tokens);
 }
 
-function textOf(tokens: SqlToken[]): string {
+function joinText(tokens: SqlToken[]): string {
   return tokens.map(({ text }) => text).join(' ');
 }
--- a/packages/core/src/lib/session/session.ts
+++ b/packages/core/src/lib/session/session.ts
@@ -2,49 +2,48 @@
 import type { Assignment } from './statement';
 import { decodeToken, encodeToken, type GroupPosition } from './sessionToken';
 
-/** A variable of the session that was given a value which it does not take. @public */
+/** An unknown session variable, or an invalid value for one. @public */
 export class InvalidSessionVariableError extends Error {
   override name = 'InvalidSessionVariableError';
 }
 
-/** State of one caller connection's session, which the statements read and change. @public */
+/** Session state of a caller connection. @public */
 export interface Session {
-  /** Name of the request kind that the session chose; undefined for the default. */
+  /** Name of the selected request kind; undefined for the default. */
   readonly kind: string | undefined;
-  /** Name that the caller gave the session, for logs. */
+  /** Session name set by the caller, for logs. */
   readonly name: string | undefined;
   /**
-   * Takes `SET wisterialift_* = ...`.
+   * Applies `SET wisterialift_* = ...`.
    *
-   * @returns false where the assignment is of another variable.
+   * @returns false if the variable is not a session variable of the proxy.
    * @throws InvalidTokenError, InvalidSessionVariableError
    */
   assign: (assignment: Assignment) => boolean;
-  /** Remembers where an acknowledged write of this connection stands. */
+  /** Records the log position of an acknowledged write of this connection. */
   addWrite: (group: string, position: Position) => void;
   /**
-   * Position that a read must see.
+   * Returns the minimum position that a read must reflect.
    *
-   * @param token - token of the statement's own comment, if any.
-   * @returns undefined where the engine has to ask the group for it.
+   * @param token - token from the statement's leading comment.
+   * @returns undefined if the engine must query the group for the position.
    * @throws InvalidTokenError
    */
   floorOf: (group: string, token?: string) => Position | undefined;
-  /** Token with every position that the session has given or written. */
+  /** Returns a token with all positions of the session. */
   token: () => string;
-  /** Back to the state of a new connection. */
+  /** Resets the session to the state of a new connection. */
   reset: () => void;
 }
 
 const VARIABLE_PREFIX = 'wisterialift_';
-const kindForm = /^[a-z0-9][a-z0-9-]{0,62}$/;
+const KIND_NAME_PATTERN = /^[a-z0-9][a-z0-9-]{0,62}$/;
 
 /**
  * Creates the session of a new caller connection.
  *
- * The same session may be open at another proxy, where it writes without this one seeing it. So the
- * connection's own writes alone bound a read only when the caller says that it does not roam, or when
- * it carries the token itself.
+ * A roaming session may also write through another proxy instance. The positions known here are
+ * therefore sufficient only if roaming is off or the caller supplies the session token.
  *
  * @public
  */
@@ -52,24 +51,24 @@
   const positions = new Map<string, Position>();
   let kind: string | undefined;
   let name: string | undefined;
-  let carriesToken = false;
+  let hasToken = false;
   let isRoaming = true;
 
-  const add = ({ group, position }: GroupPosition): void => {
+  const addPosition = ({ group, position }: GroupPosition): void => {
     positions.set(group, maxPosition(positions.get(group) ?? ORIGIN, position));
   };
 
   const handlers: Record<string, (value: string) => void> = {
     token: (value) => {
       if (value === '') {
-        carriesToken = false;
+        hasToken = false;
         return;
       }
-      decodeToken(value).forEach(add);
-      carriesToken = true;
+      decodeToken(value).forEach(addPosition);
+      hasToken = true;
     },
     kind: (value) => {
-      if (value !== '' && !kindForm.test(value)) {
+      if (value !== '' && !KIND_NAME_PATTERN.test(value)) {
         throw new InvalidSessionVariableError('wisterialift_kind is not the name of a kind');
       }
       kind = value === '' ? undefined : value;
@@ -79,11 +78,11 @@
     },
     roaming: (value) => {
       const isRoamingByValue: Record<string, boolean> = { 0: false, off: false, 1: true, on: true };
-      const wanted = isRoamingByValue[value.toLowerCase()];
-      if (wanted === undefined) {
+      const isRoamingRequested = isRoamingByValue[value.toLowerCase()];
+      if (isRoamingRequested === undefined) {
         throw new InvalidSessionVariableError('wisterialift_roaming takes 0 or 1');
       }
-      isRoaming = wanted;
+      isRoaming = isRoamingRequested;
     },
   };
 
@@ -103,10 +102,10 @@
       handler(value);
       return true;
     },
-    addWrite: (group, position) => add({ group, position }),
+    addWrite: (group, position) => addPosition({ group, position }),
     floorOf: (group, token) => {
-      if (token !== undefined) decodeToken(token).forEach(add);
-      if (token === undefined && !carriesToken && isRoaming) return undefined;
+      if (token !== undefined) decodeToken(token).forEach(addPosition);
+      if (token === undefined && !hasToken && isRoaming) return undefined;
       return positions.get(group) ?? ORIGIN;
     },
     token: () => encodeToken([...positions].map(([group, position]) => ({ group, position }))),
@@ -114,7 +113,7 @@
       positions.clear();
       kind = undefined;
       name = undefined;
-      carriesToken = false;
+      hasToken = false;
       isRoaming = true;
     },
   };
--- a/packages/core/src/lib/session/sessionToken.ts
+++ b/packages/core/src/lib/session/sessionToken.ts
@@ -6,24 +6,24 @@
   position: Position;
 }
 
-/** A token that no proxy has issued, or that was cut or changed on its way. @public */
+/** A malformed, truncated or modified session token. @public */
 export class InvalidTokenError extends Error {
   override name = 'InvalidTokenError';
 }
 
 const VERSION = 'w1';
-const LONGEST_TOKEN = 8_192;
-const TOKEN_FORM = /^w1\.([A-Za-z0-9_-]*)\.([0-9a-f]{8})$/;
-const ENTRY_FORM = /^([a-z0-9][a-z0-9-]{0,62})=(\d+:\d+)$/;
+const MAXIMUM_TOKEN_CHARACTERS = 8_192;
+const TOKEN_PATTERN = /^w1\.([A-Za-z0-9_-]*)\.([0-9a-f]{8})$/;
+const ENTRY_PATTERN = /^([a-z0-9][a-z0-9-]{0,62})=(\d+:\d+)$/;
 
 const CHECKSUM_SEED = 0x811c9dc5;
 const CHECKSUM_PRIME = 0x01000193;
 
 /**
- * Writes the positions of a session as an opaque token.
+ * Encodes the positions of a session as an opaque token.
  *
- * The form is `w1.<base64url of "group=term:index;...">.<checksum>`. The checksum finds a token that
- * was cut or mistyped; it is no signature, as a token grants nothing but a wait for newer data.
+ * Format: `w1.<base64url of "group=term:index;...">.<checksum>`. The checksum detects truncation and
+ * typing errors; a signature is not needed because tokens grant no access.
  *
  * @public
  */
@@ -33,21 +33,21 @@
     .sort()
     .join(';');
   const body = btoa(text).replaceAll('+', '-').replaceAll('/', '_').replaceAll('=', '');
-  return `${VERSION}.${body}.${checksumOf(body)}`;
+  return `${VERSION}.${body}.${computeChecksum(body)}`;
 }
 
 /**
- * Reads a token.
+ * Decodes a session token.
  *
- * @throws InvalidTokenError where the text is not a whole token.
+ * @throws InvalidTokenError if the token is malformed or its checksum does not match.
  * @public
  */
 export function decodeToken(token: string): GroupPosition[] {
-  if (token.length > LONGEST_TOKEN) throw new InvalidTokenError('the token is too long');
-  const match = TOKEN_FORM.exec(token);
+  if (token.length > MAXIMUM_TOKEN_CHARACTERS) throw new InvalidTokenError('the token is too long');
+  const match = TOKEN_PATTERN.exec(token);
   if (!match) throw new InvalidTokenError('the text is not a token');
   const [, body = '', checksum] = match;
-  if (checksumOf(body) !== checksum) {
+  if (computeChecksum(body) !== checksum) {
     throw new InvalidTokenError('the checksum of the token is wrong');
   }
   const text = atob(body.replaceAll('-', '+').replaceAll('_', '/'));
@@ -56,14 +56,14 @@
 }
 
 function decodeEntry(entry: string): GroupPosition {
-  const match = ENTRY_FORM.exec(entry);
+  const match = ENTRY_PATTERN.exec(entry);
   const position = parsePosition(match?.[2] ?? '');
   if (!match?.[1] || !position) throw new InvalidTokenError('the token holds no position');
   return { group: match[1], position };
 }
 
 /** FNV-1a with 32 bits, as 8 hexadecimal digits. */
-function checksumOf(text: string): string {
+function computeChecksum(text: string): string {
   let hash = CHECKSUM_SEED;
   for (let index = 0; index < text.length; index += 1) {
     // eslint-disable-next-line no-bitwise
--- a/packages/core/src/lib/session/sqlTokens.ts
+++ b/packages/core/src/lib/session/sqlTokens.ts
@@ -1,8 +1,8 @@
-/** One lexical element of a statement; words are kept as written. @internal */
+/** A lexical token of a SQL statement; `text` is the original spelling. @internal */
 export interface SqlToken {
   type: 'word' | 'string' | 'identifier' | 'variable' | 'number' | 'symbol';
   text: string;
-  /** For words: in upper case. For quoted elements: without the quotes. Otherwise the text. */
+  /** Upper case for words, unquoted for strings and identifiers, otherwise equal to `text`. */
   value: string;
 }
 
@@ -22,9 +22,8 @@
 };
 
 /**
- * Splits a statement into its lexical elements without spaces and comments.
- *
- * A comment of the form `/*! ... *\/` holds text that a database runs, so it is left in as symbols.
+ * Splits a statement into tokens, skipping white space and comments. Executable comments
+ * (`/*! ... *\/`) are kept.
  *
  * @internal
  */
@@ -37,8 +36,8 @@
   return tokens;
 }
 
-/** First word of a statement in upper case, past comments and brackets; empty where there is none. @internal */
-export function firstWordOf(sql: string): string {
+/** Returns a statement's first word in upper case, after comments and parentheses; '' if none. @internal */
+export function readFirstWord(sql: string): string {
   const rest = sql.slice(LEADING_SPACE.exec(sql)?.[0].length ?? 0);
   return FIRST_WORD.exec(rest)?.[1]?.toUpperCase() ?? '';
 }
--- a/packages/core/src/lib/session/statement.ts
+++ b/packages/core/src/lib/session/statement.ts
@@ -1,6 +1,6 @@
 import type { StatementOptions } from './statementOptions';
 
-/** One `name = value` of a SET statement. @public */
+/** One assignment of a SET statement. @public */
 export interface Assignment {
   /** `user` is `@name`, `names` is SET NAMES or SET CHARACTER SET, `transaction` SET TRANSACTION. */
   scope: 'session' | 'global' | 'user' | 'names' | 'transaction';
@@ -9,21 +9,21 @@
   value: string;
 }
 
-/** One column of a SELECT that asks for variables of the session alone. @public */
+/** One column of a SELECT that only reads session variables. @public */
 export interface VariableColumn {
-  /** Name of the column in the answer. */
+  /** Column name in the result. */
   label: string;
   /** In lower case: a system variable without `@@` and scope, or a function such as `database()`. */
   variable: string;
 }
 
-/** What a statement asks of the proxy. @public */
+/** Classification of a statement. @public */
 export type StatementRequest =
   | { type: 'read' }
   | { type: 'write' }
-  /** Reads and locks, or wants the primary for another reason; it changes nothing. */
+  /** A read that must run on the primary, for example because it takes locks. */
   | { type: 'lockingRead' }
-  /** Changes the schema; a database commits an open transaction before it. */
+  /** A schema change; it implicitly commits an open transaction. */
   | { type: 'definition' }
   | { type: 'begin' }
   | { type: 'commit' }
@@ -31,9 +31,9 @@
   | { type: 'set'; assignments: Assignment[] }
   | { type: 'use'; group: string }
   | { type: 'selectVariables'; columns: VariableColumn[] }
-  /** `pattern` is that of LIKE or of WHERE Variable_name =. */
+  /** `pattern` is the operand of LIKE or of `WHERE Variable_name =`. */
   | { type: 'showVariables'; pattern: string }
-  /** Needs a database connection of the caller's own; `feature` names what. */
+  /** Not supported on shared connections; `feature` is for the error message. */
   | { type: 'unsupported'; feature: string };
 
 /** A classified statement. @public */
--- a/packages/core/src/lib/session/statementOptions.ts
+++ b/packages/core/src/lib/session/statementOptions.ts
@@ -1,10 +1,10 @@
-/** What a leading comment asks for one statement. @public */
+/** Options from the leading comment of a statement. @public */
 export interface StatementOptions {
-  /** Name of a request kind of the configuration. */
+  /** Name of a configured request kind. */
   kind?: string;
-  /** Token of the session, as an earlier answer carried it. */
+  /** Session token from an earlier answer. */
   token?: string;
-  /** Name of the session, for logs alone. */
+  /** Session name, for logs only. */
   session?: string;
 }
 
@@ -17,7 +17,7 @@
 const optionNames = ['kind', 'token', 'session'] as const;
 
 /**
- * Reads the leading comment of a statement.
+ * Parses the options in the leading comment of a statement.
  *
  * @example
  * `/* wisterialift kind=history token=w1.aGVsbG8.1a2b3c4d *\/ SELECT 1`
