--- a/packages/core/src/lib/session/classifyStatement.ts
+++ b/packages/core/src/lib/session/classifyStatement.ts
@@ -1,4 +1,4 @@
-import { parseSet } from './parseSet';
+import { parseSetStatement } from './parseSetStatement';
 import { readFirstWord, tokenizeSql, type SqlToken } from './sqlTokens';
 import { parseStatementOptions } from './statementOptions';
 import type { Statement, StatementRequest, VariableColumn } from './statement';
@@ -147,7 +147,7 @@
 }
 
 function classifySet(sql: string): StatementRequest {
-  const assignments = parseSet(tokenizeStatement(sql));
+  const assignments = parseSetStatement(tokenizeStatement(sql));
   return assignments ? { type: 'set', assignments } : asUnsupported('this form of SET');
 }
 
--- a/packages/core/src/lib/session/parseSet.ts
+++ b/packages/core/src/lib/session/parseSetStatement.ts
@@ -16,7 +16,7 @@
  * @returns undefined if the syntax is not supported.
  * @internal
  */
-export function parseSet(tokens: SqlToken[]): Assignment[] | undefined {
+export function parseSetStatement(tokens: SqlToken[]): Assignment[] | undefined {
   const assignments = splitAtCommas(tokens.slice(1)).map(parseAssignment);
   return assignments.every((assignment) => assignment !== undefined) ? assignments : undefined;
 }
