--- a/packages/core/src/lib/acknowledgement/confirmationTracker.ts
+++ b/packages/core/src/lib/acknowledgement/confirmationTracker.ts
@@ -42,11 +42,9 @@
 /**
  * Creates the tracker that decides when a write may be acknowledged.
  *
- * Prevents acknowledging a write of a primary that has been replaced. A write (T, p) is confirmed
- * once a majority reports, in answers to queries sent after the write completed, term T and a log of
- * T that reaches p. A promotion to T' > T needs a majority that has recorded T'. The two majorities
- * share a member that reported before it recorded T', so the log of T' contains the entry. Neither
- * clocks nor leases are involved.
+ * A write is confirmed once a majority, queried after the write completed, reports the term of the
+ * write and a log that reaches its position. A promotion needs a majority that has recorded a higher
+ * term; the two share a member, so the new log contains the write.
  *
  * @internal
  */
--- a/packages/core/src/lib/admission/admissionQueue.ts
+++ b/packages/core/src/lib/admission/admissionQueue.ts
@@ -82,9 +82,8 @@
 /**
  * Creates a bounded, deadline-aware queue with weighted fair queueing between callers.
  *
- * Uses start-time fair queueing on virtual time. Priority applies only within a caller, because
- * callers choose their own request kinds. When the queue is full, a request of the caller with the
- * most queued requests per weight is evicted.
+ * Uses start-time fair queueing. Priority applies only within a caller, because callers choose their
+ * own request kinds. A full queue evicts from the caller with the most requests per weight.
  *
  * @example
  * ```ts
--- a/packages/core/src/lib/admission/connectionShare.ts
+++ b/packages/core/src/lib/admission/connectionShare.ts
@@ -35,10 +35,9 @@
 /**
  * Computes this instance's share of a database's connections from a list of instances that may lag.
  *
- * A listed instance counts immediately; an unlisted one counts until its hold-down ends. A new
- * instance uses one reserved connection during its warm-up. If the lag of the lists is within these
- * times, the shares add up to at most the limit. A refused connection reduces the share, which then
- * recovers by one connection per interval.
+ * An unlisted instance counts until its hold-down ends, and a new one uses one reserved connection
+ * during its warm-up. If lists lag by no more than these times, the shares do not exceed the limit in
+ * total. A refused connection reduces the share temporarily.
  *
  * @public
  */
--- a/packages/core/src/lib/configuration/memberChanges.ts
+++ b/packages/core/src/lib/configuration/memberChanges.ts
@@ -7,10 +7,9 @@
 /**
  * Reports each group in which a patch adds, removes or moves more than one database.
  *
- * Instances may use the old and the new members at the same time. Majorities of sets that differ by
- * one member always overlap; disjoint majorities could lose acknowledged writes. Operators must wait
- * until a change is active everywhere and members have caught up, and must move a log with its
- * database.
+ * Instances may use the old and the new members at the same time; with more than one change their
+ * majorities may not overlap, which can lose acknowledged writes. Before the next change operators must
+ * wait until all instances and members are up to date. A moved database must keep its log.
  */
 export function findMemberChangeFaults(
   previousConfiguration: Configuration,
--- a/packages/core/src/lib/reads/floorRounds.ts
+++ b/packages/core/src/lib/reads/floorRounds.ts
@@ -29,11 +29,9 @@
 /**
  * Creates the rounds that determine the minimum position for reads without a token.
  *
- * This preserves read-your-writes for a session that writes through one instance and reads through
- * another. A write acknowledged before the read is held by a majority, which overlaps with any
- * majority that answers a query sent after the read arrived.
- *
- * Further answers can only lower the floor, since the bound of each majority is sufficient.
+ * Preserves read-your-writes for sessions that write through another instance: a majority holds each
+ * acknowledged write and overlaps with any majority queried after the read arrived. Each majority
+ * gives a valid bound, so further answers only lower the floor.
  *
  * @internal
  */
