--- a/packages/core/src/test/acknowledgement.test.ts
+++ b/packages/core/src/test/acknowledgement.test.ts
@@ -2,7 +2,7 @@
 import { NO_ENTRY, createScenario } from './engineScenario';
 
 describe('acknowledgement of writes', () => {
-  it('confirms a write once a majority holds it', () => {
+  it('acknowledges a write once a majority has stored it', () => {
     const scenario = createScenario();
     const write = scenario.write();
     scenario.runUntil(() => write.outcome !== undefined);
@@ -11,11 +11,9 @@
     expect(holders.length).toBeGreaterThanOrEqual(2);
   });
 
-  it('acknowledges nothing that a deposed primary ran', () => {
-    // A technician is told that a test is logged, and the next inspector does not find it.
-    // p1 sends the write and is frozen, the primary freezes before it arrives; p2 promotes b1. Then
-    // the old primary thaws and runs the write, and p1 thaws and reads its success.
-    // Cause: neither of them knows that the primary was replaced.
+  it('does not acknowledge a write that a replaced primary ran', () => {
+    // The primary and the instance that sent the write both freeze, and neither observes the promotion
+    // of b1. A success reported by the old primary after resuming must not be acknowledged.
     const scenario = createScenario({ instances: ['p1', 'p2'] });
     const write = scenario.write({ deadlineAt: scenario.now() + 20_000 }, 'p1');
     scenario.member('a1').state = 'frozen';
@@ -29,10 +27,9 @@
     expect(write.outcome?.status).toBe('discarded');
   });
 
-  it('asks anew before it answers a write that wrote nothing', () => {
-    // A defect report is answered with "no such luminaire", which was registered a second before.
-    // b1 was promoted; this instance has not heard from b1 and c1 since, and the old primary finds
-    // no row to change. Cause: answers from before the write completed still name the old term.
+  it('queries members again before answering a write that produced no log entry', () => {
+    // Answers from before the write completed still report the old term, so they must not confirm a
+    // result of the replaced primary.
     const scenario = createScenario();
     ['b1', 'c1'].forEach((name) => scenario.instance().unreachable.add(name));
     scenario.run(10);
@@ -46,10 +43,9 @@
     expect(write.outcome?.status).toBe('discarded');
   });
 
-  it('tells the caller of a held write whether it survived the change of primary', () => {
-    // Two callers wait for their acknowledgement when the primary dies; one entry reached b1, the
-    // other did not. Told "unknown" both would have to be looked up by hand; told "done" the second
-    // would be lost. Cause: the entry is in the log that the next term started from, or it is not.
+  it('reports whether a held write survived a change of primary', () => {
+    // The primary fails with two held writes, of which only one was replicated to b1. The log that the
+    // next term starts from determines both outcomes.
     const scenario = createScenario();
     scenario.member('c1').isCutFromGroup = true;
     const survivor = scenario.write();
@@ -70,11 +66,9 @@
     );
   });
 
-  it('does not call a write discarded while it may still come back', () => {
-    // A caller is told that its record is gone and enters it again; both are in the register.
-    // b1 is promoted without the entry and dies before c1 has the log of its term; then the old
-    // primary, which has the entry, is promoted again.
-    // Cause: a term that no majority holds yet decides nothing about the entries of the old one.
+  it('does not report a write as discarded while it can still be recovered', () => {
+    // b1 is promoted without the entry but fails before a majority has its term; the old primary, which
+    // has the entry, is promoted again. Reporting "discarded" would lead to a duplicate record.
     const scenario = createScenario();
     ['a1', 'c1'].forEach((name) => Object.assign(scenario.member(name), { isCutFromGroup: true }));
     scenario.member('b1').isCutFromGroup = true;
@@ -90,10 +84,9 @@
     expect(scenario.member('a1').log[1]?.requestId).toBe(write.requestId);
   });
 
-  it('answers unknown where the answer of a write was lost, and sends it once', () => {
-    // A certificate number is issued twice, or an officer is told "not run" and issues it again.
-    // The database runs the statement, then the connection breaks before its answer arrives.
-    // Cause: a lost answer says nothing about whether the statement ran.
+  it('reports a write as unknown when its answer is lost, without sending it again', () => {
+    // The connection breaks after the statement ran. Repeating a write that is not repeatable, or
+    // reporting "not run", would apply it twice.
     const scenario = createScenario();
     scenario.member('a1').loseAnswers = 1;
     const write = scenario.write({ isRepeatable: false });
@@ -103,9 +96,8 @@
     expect(scenario.member('a1').received).toEqual([write.requestId]);
   });
 
-  it('calls a write unknown once the primary that froze with it was replaced', () => {
-    // A technician stares at a spinning wheel for the whole deadline. The primary froze with the
-    // write; another one serves long since. Cause: whether it ran is not known and stays so.
+  it('reports a write as unknown once its frozen primary has been replaced', () => {
+    // The outcome can no longer be determined, so the caller must not wait for the whole deadline.
     const scenario = createScenario();
     const write = scenario.write({ deadlineAt: scenario.now() + 60_000 });
     scenario.member('a1').state = 'frozen';
@@ -114,9 +106,8 @@
     expect(scenario.now()).toBeLessThan(5_000);
   });
 
-  it('acknowledges nothing and says so while two of three databases are gone', () => {
-    // An officer waits for a certificate that cannot be kept. Both replicas are dead; the primary
-    // runs the write. Cause: one copy is no majority, so neither "done" nor "not run" is true.
+  it('acknowledges no write while two of three databases are down', () => {
+    // The primary alone is no majority: a write that it ran is neither "done" nor "not run".
     const scenario = createScenario();
     scenario.member('b1').state = 'down';
     scenario.member('c1').state = 'down';
--- a/packages/core/src/test/admission.test.ts
+++ b/packages/core/src/test/admission.test.ts
@@ -41,7 +41,7 @@
 }
 
 describe('admission queue', () => {
-  it('shares the service by weight between callers, whoever came first', () => {
+  it('shares the service between callers by weight, regardless of arrival order', () => {
     const queue = createAdmissionQueue({ capacity: 100 });
     fill(queue, 'a', 6);
     fill(queue, 'b', 2);
@@ -49,7 +49,7 @@
     expect(takeAll(queue).join(' ')).toMatchInlineSnapshot(`"a0 b0 c0 c1 a1 b1 c2 c3 a2 a3 a4 a5"`);
   });
 
-  it('puts the higher priority of a caller first and gives a rival nothing to lose by it', () => {
+  it('orders the requests of one caller by priority without affecting other callers', () => {
     const queue = createAdmissionQueue({ capacity: 100 });
     fill(queue, 'a', 3, { priority: 9 });
     fill(queue, 'b', 1, { priority: 1 });
@@ -57,7 +57,7 @@
     expect(takeAll(queue)).toEqual(['a0', 'b-high', 'a1', 'b0', 'a2']);
   });
 
-  it('takes the place in a full queue from the caller that holds most', () => {
+  it('evicts a request of the largest caller when the queue is full', () => {
     const queue = createAdmissionQueue({ capacity: 4 });
     fill(queue, 'a', 4);
     const offer = queue.offer(createRequest('b0', { caller: 'b' }), 0);
@@ -68,7 +68,7 @@
     expect(queue.length()).toBe(4);
   });
 
-  it('does not start what cannot end by its deadline and gives it back at once', () => {
+  it('does not start requests that cannot complete by their deadline and expires them', () => {
     const queue = createAdmissionQueue({ capacity: 10 });
     for (let time = 0; time < 100; time += 1) queue.recordCompletion(100, time);
     fill(queue, 'a', 1);
@@ -78,14 +78,14 @@
     expect(queue.length()).toBe(0);
   });
 
-  it('still starts a fresh request after a spell slower than any deadline', () => {
+  it('still starts new requests after completions slower than any deadline', () => {
     const queue = createAdmissionQueue({ capacity: 10 });
     for (let time = 0; time < 100; time += 1) queue.recordCompletion(60_000, time);
     expect(fill(queue, 'a', 1)).toEqual([{ accepted: true }]);
     expect(queue.takeNext(0)?.requestId).toBe('a0');
   });
 
-  it('refuses at once what would wait past its deadline, and says when to come back', () => {
+  it('rejects requests that would expire in the queue, with a retry delay', () => {
     const queue = createAdmissionQueue({ capacity: 1_000 });
     fill(queue, 'seed', 1);
     for (let time = 0; time <= 400; time += 20) queue.recordCompletion(20, time);
@@ -95,7 +95,7 @@
     expect(queue.offer(createRequest('b0', { caller: 'b' }), 0)).toEqual({ accepted: true });
   });
 
-  it('passes over what is not eligible and keeps its place', () => {
+  it('skips requests that are not eligible and keeps their position', () => {
     const queue = createAdmissionQueue({ capacity: 10 });
     fill(queue, 'a', 3);
     expect(queue.takeNext(0, ({ requestId }) => requestId === 'a1')?.requestId).toBe('a1');
@@ -107,7 +107,7 @@
 });
 
 describe('retry budget', () => {
-  it('keeps the retries of an outage to the share of the first tries', () => {
+  it('limits retries during an outage to the share of first attempts', () => {
     const budget = createRetryBudget({ share: 0.1, minimumTokens: 5 });
     let retries = 0;
     for (let now = 0; now < 1_000; now += 1) {
@@ -118,7 +118,7 @@
     expect(retries).toBeLessThan(107);
   });
 
-  it('refills for a quiet instance', () => {
+  it('refills without traffic', () => {
     const budget = createRetryBudget({ share: 0.1, minimumTokens: 1 });
     expect([budget.tryRetry(0), budget.tryRetry(1), budget.tryRetry(10_001)]).toEqual([
       true,
@@ -131,7 +131,7 @@
 describe('connection share', () => {
   const limits = { connectionLimit: 30, reserved: 2 };
 
-  it('counts a newcomer at once and a vanished instance until the hold-down is over', () => {
+  it('counts a new instance immediately and an unlisted one until its hold-down ends', () => {
     const share = createConnectionShare(limits);
     share.update(['p1', 'p2'], 'p1', 0);
     expect(share.share(0)).toBe(1);
@@ -142,7 +142,7 @@
     expect([share.share(5_000), share.share(19_999), share.share(20_000)]).toEqual([7, 7, 14]);
   });
 
-  it('shrinks once for a burst of refusals and grows back by one connection at a time', () => {
+  it('shrinks once per burst of refusals and recovers by one connection at a time', () => {
     const share = createConnectionShare(limits);
     share.update(['p1', 'p2'], 'p1', 0);
     [10_000, 10_001, 10_002].forEach((now) => share.recordRefusal(now));
@@ -153,7 +153,7 @@
 });
 
 describe('running limit', () => {
-  it('grows to the slots while nothing queues and shrinks to the fair part when it does', () => {
+  it('grows to all slots without queueing and shrinks to the fair share with queueing', () => {
     const limit = createRunningLimit({ slots: 6, instances: 3 });
     expect(limit.limit()).toBe(2);
     for (let count = 0; count < 100; count += 1) limit.recordCompletion(5, limit.limit());
--- a/packages/core/src/test/configuration.test.ts
+++ b/packages/core/src/test/configuration.test.ts
@@ -31,7 +31,7 @@
 
 function accept(submission: Submission): ConfigurationObject {
   const prepared = submit(submission);
-  if (prepared.status !== 'ready') throw new Error(`the patch is ${prepared.status}`);
+  if (prepared.status !== 'ready') throw new Error(`unexpected patch status: ${prepared.status}`);
   return prepared.configurationObject;
 }
 
@@ -43,8 +43,8 @@
   return current;
 }
 
-describe('a merge patch', () => {
-  // The examples of RFC 7396, appendix A.
+describe('mergePatch', () => {
+  // Examples of RFC 7396, appendix A.
   it.each([
     ['{"a":"b"}', '{"a":"c"}', '{"a":"c"}'],
     ['{"a":"b"}', '{"b":"c"}', '{"a":"b","b":"c"}'],
@@ -61,26 +61,23 @@
     ['{"e":null}', '{"a":1}', '{"e":null,"a":1}'],
     ['[1,2]', '{"a":"b","c":null}', '{"a":"b"}'],
     ['{}', '{"a":{"bb":{"ccc":null}}}', '{"a":{"bb":{}}}'],
-  ])('makes of %s with %s the value %s', (target, patch, result) => {
+  ])('applied to %s, the patch %s gives %s', (target, patch, result) => {
     expect(mergePatch(JSON.parse(target), JSON.parse(patch))).toEqual(JSON.parse(result));
   });
 
-  it('does not reach the prototype', () => {
+  it('does not set the prototype', () => {
     const merged = mergePatch({}, JSON.parse('{"__proto__":{"isAdmitted":true}}'));
     expect((merged as { isAdmitted?: boolean }).isAdmitted).toBeUndefined();
   });
 });
 
-describe('a patch', () => {
-  it('brings the next number into force', () => {
+describe('preparePatch', () => {
+  it('assigns the next number', () => {
     expect(accept({ changes: { groups: { 'archivio-1': GROUP } } })).toMatchSnapshot();
   });
 
-  /*
-   * Two operators look at number 1 and each submits a patch. The second to arrive was made without
-   * knowledge of the first; if it were merged on top, it would undo a change that its author never saw.
-   */
-  it('is refused with the present number when it was made against an outdated one', () => {
+  // Merging a patch made against an older number could undo a change that its author has not seen.
+  it('refuses a patch made against an older number and returns the current one', () => {
     const current = accept({ patchId: 'first' });
     expect(submit({ current, patchId: 'second' })).toEqual({
       status: 'outdated',
@@ -88,20 +85,14 @@
     });
   });
 
-  /*
-   * An operator's patch took effect but its answer was lost, so the tool submits it again. The
-   * number has moved because of this very patch; calling it outdated would be untrue.
-   */
-  it('is accepted at its first number when it is submitted twice', () => {
+  // A patch whose answer was lost is submitted again, although it has already changed the number.
+  it('returns the original number for a patch that is submitted twice', () => {
     const current = accept({ patchId: 'once' });
     expect(submit({ current, patchId: 'once' })).toEqual({ status: 'alreadyAccepted', number: 1 });
   });
 
-  /*
-   * A patch with one good and four bad changes. If the good one were taken, the operator would have
-   * to find out which; if only the first fault were named, it would take four attempts.
-   */
-  it('is refused whole, with every fault, when it does not pass the schema', () => {
+  // A partially valid patch must not be partially applied, and one attempt reports all faults.
+  it('refuses an invalid patch as a whole and reports every fault', () => {
     const prepared = submit({
       changes: {
         groups: {
@@ -114,7 +105,7 @@
     expect(prepared).toMatchSnapshot();
   });
 
-  it('is refused when a caller would reach a group that is no longer there', () => {
+  it('refuses to remove a group that a caller refers to', () => {
     const caller = { passwordHash: 'a'.repeat(40), groups: ['archivio-1'] };
     const current = accept({
       changes: { groups: { 'archivio-1': GROUP }, callers: { office: caller } },
@@ -126,7 +117,7 @@
     });
   });
 
-  it('is refused when the whole would not fit into the platform', () => {
+  it('refuses a configuration that exceeds the size limit of the platform', () => {
     const user = 'é'.repeat(500_000);
     expect(submit({ changes: { groups: { big: { ...GROUP, user } } } })).toMatchObject({
       status: 'invalid',
@@ -134,11 +125,11 @@
   });
 });
 
-describe('settling a patch whose answer was lost', () => {
+describe('settlePatch', () => {
   const settle = (configurationObject: ConfigurationObject, patchId: string): unknown =>
     settlePatch({ configurationObject, patchId, againstNumber: 0 });
 
-  it('finds it, or whatever took its place, or neither', () => {
+  it('distinguishes accepted, refused and pending patches', () => {
     expect(settle(acceptMany(3), 'patch-1')).toMatchObject({
       status: 'accepted',
       patch: { patchId: 'patch-1', number: 1, author: 'operator' },
@@ -150,11 +141,8 @@
     });
   });
 
-  /*
-   * An operator asks about a patch of last year. The object remembers the newest patches only; "not
-   * there" must not be told as "refused".
-   */
-  it('admits that it has forgotten', () => {
+  // The object lists only the latest patches, so an older one must not be reported as refused.
+  it('reports that the patch history no longer covers the number', () => {
     const presentNumber = REMEMBERED_PATCHES + 1;
     expect(settle(acceptMany(presentNumber), 'patch-1')).toEqual({
       status: 'forgotten',
@@ -163,12 +151,9 @@
   });
 });
 
-describe('adopting a configuration', () => {
-  /*
-   * A proxy has number 3 in force. A slow answer to an older poll arrives with number 2. If it were
-   * taken, a caller that was just locked out would get in again.
-   */
-  it('takes a higher number and never the same or a lower one', () => {
+describe('adoptConfiguration', () => {
+  // A delayed answer must not restore an older configuration, for example a revoked caller.
+  it('adopts only a higher number', () => {
     const candidate = acceptMany(3);
     expect(adoptConfiguration({ currentNumber: 2, candidate })).toMatchObject({
       status: 'adopted',
@@ -181,7 +166,7 @@
     });
   });
 
-  it('refuses what does not pass the schema, whatever its number', () => {
+  it('rejects an object that does not match the schema', () => {
     const candidate = { ...acceptMany(3), configuration: { groups: {} } };
     expect(adoptConfiguration({ currentNumber: undefined, candidate })).toMatchObject({
       status: 'invalid',
@@ -189,7 +174,7 @@
   });
 });
 
-describe('the members of a group', () => {
+describe('member changes of a group', () => {
   const a = { ...DATABASE, name: 'a', port: 4001 };
   const b = { ...DATABASE, name: 'b', port: 4002 };
   const c = { ...DATABASE, name: 'c', port: 4003 };
@@ -205,10 +190,9 @@
     });
   }
 
-  it('change by one database a patch', () => {
-    // An operator replaces one database by another in a single patch. One instance still counts
-    // {a, b, c} and confirms a record on b and c; another counts {a, b, d}, promotes with a and d
-    // and knows nothing of the record that a technician was told is kept.
+  it('are limited to one database per patch', () => {
+    // With {a, b, c} and {a, b, d} in use at the same time, {b, c} could confirm a write that a
+    // promotion by {a, d} loses.
     const reason = 'at most one database may be added, removed or moved by one patch';
     const refused = { status: 'invalid', faults: [{ path: 'groups.archivio.databases', reason }] };
     expect(changeMembers([a, b, d])).toEqual(refused);
--- a/packages/core/src/test/configurationSubmission.test.ts
+++ b/packages/core/src/test/configurationSubmission.test.ts
@@ -11,22 +11,22 @@
 
 type UpdateStep = Extract<SubmissionStep, { type: 'updateObject' }>;
 
-/** What the platform does with one call. */
-type Fate = 'answered' | 'lostBefore' | 'lostAfter' | 'appliedLater' | 'refusedConnection';
+/** How the platform handles one call. */
+type CallOutcome = 'answered' | 'lostBefore' | 'lostAfter' | 'appliedLater' | 'refusedConnection';
 
-/** One step of a history: which operator goes on, and what the platform does with the call. */
-interface Move {
+/** One step of a simulated history: the operator that proceeds and the outcome of its call. */
+interface HistoryStep {
   operator: number;
-  fate: Fate;
-  /** Whether the updates that were under way reach the platform before this move. */
-  isLateArrival: boolean;
+  callOutcome: CallOutcome;
+  /** Whether delayed updates are applied before this step. */
+  areDelayedUpdatesApplied: boolean;
 }
 
-/** A platform that holds one object under conditional updates. */
+/** Simulates a platform that stores one object with conditional updates. */
 function createFakePlatform() {
   let stored: VersionedConfiguration | undefined;
   const accepted: string[] = [];
-  let underWay: UpdateStep[] = [];
+  let delayedUpdates: UpdateStep[] = [];
 
   function update(step: UpdateStep): boolean {
     if (step.expectedVersion !== (stored?.version ?? 0)) return false;
@@ -36,7 +36,7 @@
     return true;
   }
 
-  const answerUpdate: Record<Fate, (step: UpdateStep) => SubmissionEvent> = {
+  const answerUpdate: Record<CallOutcome, (step: UpdateStep) => SubmissionEvent> = {
     answered: (step) => ({ type: update(step) ? 'updateStored' : 'updateConflicted' }),
     lostBefore: () => ({ type: 'callFailed', mayHaveApplied: true }),
     lostAfter: (step) => {
@@ -44,25 +44,30 @@
       return { type: 'callFailed', mayHaveApplied: true };
     },
     appliedLater: (step) => {
-      underWay.push(step);
+      delayedUpdates.push(step);
       return { type: 'callFailed', mayHaveApplied: true };
     },
     refusedConnection: () => ({ type: 'callFailed', mayHaveApplied: false }),
   };
 
-  function answer(step: SubmissionStep, fate: Fate): SubmissionEvent {
+  function answer(step: SubmissionStep, callOutcome: CallOutcome): SubmissionEvent {
     if (step.type === 'wait') return { type: 'waitOver' };
-    if (step.type === 'updateObject') return answerUpdate[fate](step);
-    if (fate === 'answered') return { type: 'objectRead', found: stored };
+    if (step.type === 'updateObject') return answerUpdate[callOutcome](step);
+    if (callOutcome === 'answered') return { type: 'objectRead', found: stored };
     return { type: 'callFailed', mayHaveApplied: false };
   }
 
-  function deliverLate(): void {
-    underWay.forEach(update);
-    underWay = [];
+  function applyDelayedUpdates(): void {
+    delayedUpdates.forEach(update);
+    delayedUpdates = [];
   }
 
-  return { answer, deliverLate, accepted, number: () => stored?.configurationObject.number ?? 0 };
+  return {
+    answer,
+    applyDelayedUpdates,
+    accepted,
+    number: () => stored?.configurationObject.number ?? 0,
+  };
 }
 
 function createOperator(operator: number): PatchSubmission {
@@ -70,25 +75,25 @@
   return createPatchSubmission({ patch, acceptedAt: '2026-01-01', maximumFailures: 3 });
 }
 
-/** Plays a history to its end and checks each outcome against what the platform accepted. */
-function checkHistory(moves: Move[]): PatchOutcome[] {
+/** Runs a history to its end and checks each outcome against the accepted patches. */
+function checkHistory(steps: HistoryStep[]): PatchOutcome[] {
   const platform = createFakePlatform();
   const operators = [0, 1, 2].map(createOperator);
-  const restOfMoves = operators.flatMap((unused, operator) =>
-    Array.from<unknown, Move>({ length: 12 }, () => ({
+  const remainingSteps = operators.flatMap((unused, operator) =>
+    Array.from<unknown, HistoryStep>({ length: 12 }, () => ({
       operator,
-      fate: 'answered',
-      isLateArrival: false,
+      callOutcome: 'answered',
+      areDelayedUpdatesApplied: false,
     })),
   );
-  [...moves, ...restOfMoves].forEach(({ operator, fate, isLateArrival }) => {
-    if (isLateArrival) platform.deliverLate();
+  [...steps, ...remainingSteps].forEach(({ operator, callOutcome, areDelayedUpdatesApplied }) => {
+    if (areDelayedUpdatesApplied) platform.applyDelayedUpdates();
     const submission = operators[operator]!;
     const step = submission.step();
-    if (step.type !== 'finish') submission.handle(platform.answer(step, fate));
+    if (step.type !== 'finish') submission.handle(platform.answer(step, callOutcome));
   });
-  platform.deliverLate();
-  const outcomes = operators.map(outcomeOf);
+  platform.applyDelayedUpdates();
+  const outcomes = operators.map(readOutcome);
   outcomes.forEach((outcome, operator) => {
     checkOutcome(outcome, platform.accepted, `patch-${operator}`);
   });
@@ -96,54 +101,58 @@
   return outcomes;
 }
 
-function outcomeOf(submission: PatchSubmission): PatchOutcome {
+function readOutcome(submission: PatchSubmission): PatchOutcome {
   const step = submission.step();
-  if (step.type !== 'finish') throw new Error(`the submission still wants to ${step.type}`);
+  if (step.type !== 'finish') throw new Error(`unexpected next step: ${step.type}`);
   return step.outcome;
 }
 
 function checkOutcome(outcome: PatchOutcome, accepted: string[], patchId: string): void {
-  const times = accepted.filter((other) => other === patchId).length;
-  expect(times).toBeLessThanOrEqual(1);
+  const acceptedCount = accepted.filter((other) => other === patchId).length;
+  expect(acceptedCount).toBeLessThanOrEqual(1);
   if (outcome.status === 'unknown') return;
-  expect({ outcome, times }).toEqual({ outcome, times: outcome.status === 'accepted' ? 1 : 0 });
+  expect({ outcome, acceptedCount }).toEqual({
+    outcome,
+    acceptedCount: outcome.status === 'accepted' ? 1 : 0,
+  });
   if (outcome.status === 'accepted') expect(accepted[outcome.number - 1]).toBe(patchId);
 }
 
-const moveArbitrary = fc.record<Move>({
+const stepArbitrary = fc.record<HistoryStep>({
   operator: fc.nat({ max: 2 }),
-  fate: fc.constantFrom('answered', 'lostBefore', 'lostAfter', 'appliedLater', 'refusedConnection'),
-  isLateArrival: fc.boolean(),
+  callOutcome: fc.constantFrom(
+    'answered',
+    'lostBefore',
+    'lostAfter',
+    'appliedLater',
+    'refusedConnection',
+  ),
+  areDelayedUpdatesApplied: fc.boolean(),
 });
 
-describe('the submission of a patch', () => {
-  /*
-   * Three operators submit against the same number while calls are refused, lost before or after they
-   * took effect, or arrive after their sender gave up. Whoever is told "accepted", "outdated" or "not
-   * accepted" plans the next step by it; an untrue one leaves a building without its rule.
-   */
-  it('never tells an outcome that the platform does not bear out', () => {
+describe('patch submission', () => {
+  // Three operators submit against the same number while calls are refused, lost, or applied late.
+  it('never reports an outcome that contradicts the platform', () => {
     fc.assert(
-      fc.property(fc.array(moveArbitrary, { maxLength: 40 }), (moves) => {
-        checkHistory(moves);
+      fc.property(fc.array(stepArbitrary, { maxLength: 40 }), (steps) => {
+        checkHistory(steps);
       }),
       { seed: 20_260_101, numRuns: 3_000 },
     );
   });
 
-  /*
-   * The platform applies a patch, its answer is lost, and the read that would settle it fails as
-   * well. The operator must hear "unknown", not that nothing happened.
-   */
-  it('is unknown when the answer was lost and the platform then stays silent', () => {
+  // A patch may have been applied although its answer and all later reads fail.
+  it('reports unknown when the answer is lost and the platform becomes unavailable', () => {
     const submission = createOperator(0);
     const platform = createFakePlatform();
-    const fates: Fate[] = ['answered', 'lostAfter', 'answered', 'refusedConnection'];
-    [...fates, ...fates.slice(2), ...fates.slice(2)].forEach((fate, index) => {
-      const step = submission.step();
-      if (step.type === 'finish') return;
-      submission.handle(platform.answer(step, index < 2 ? fate : 'refusedConnection'));
-    });
+    const callOutcomes: CallOutcome[] = ['answered', 'lostAfter', 'answered', 'refusedConnection'];
+    [...callOutcomes, ...callOutcomes.slice(2), ...callOutcomes.slice(2)].forEach(
+      (callOutcome, index) => {
+        const step = submission.step();
+        if (step.type === 'finish') return;
+        submission.handle(platform.answer(step, index < 2 ? callOutcome : 'refusedConnection'));
+      },
+    );
     expect(submission.step()).toEqual({
       type: 'finish',
       outcome: { status: 'unknown', patchId: 'patch-0' },
--- a/packages/core/src/test/membership.test.ts
+++ b/packages/core/src/test/membership.test.ts
@@ -41,12 +41,12 @@
 }
 
 describe('rendezvous hashing', () => {
-  it('finds the same order from any order of the names', () => {
+  it('does not depend on the order of the names', () => {
     const order = orderByRendezvous({ key: 'archivio-1', names: NAMES });
     expect(orderByRendezvous({ key: 'archivio-1', names: [...NAMES].reverse() })).toEqual(order);
   });
 
-  it('keeps the order of the others when one goes', () => {
+  it('keeps the order of the others when a name is removed', () => {
     const order = orderByRendezvous({ key: 'archivio-1', names: NAMES });
     const names = NAMES.filter((name) => name !== 'p4');
     expect(orderByRendezvous({ key: 'archivio-1', names })).toEqual(
@@ -54,7 +54,7 @@
     );
   });
 
-  it('spreads the keys over the names', () => {
+  it('distributes the keys evenly over the names', () => {
     const firsts = Array.from({ length: 7_000 }, (unused, key) => {
       const [first] = orderByRendezvous({ key: `group-${key}`, names: NAMES });
       return first;
@@ -67,8 +67,8 @@
   });
 });
 
-describe('the watchers of a data centre', () => {
-  it('are two of its live instances', () => {
+describe('chooseWatchers', () => {
+  it('chooses two live instances of the data centre', () => {
     const instances = [
       ...['p1', 'p2', 'p3'].map((name) => instance(name)),
       instance('p4', { state: 'leaving' }),
@@ -81,7 +81,7 @@
   });
 });
 
-describe('the audience of a configuration', () => {
+describe('forwarding of a configuration', () => {
   const instances = ['p1', 'p2', 'p3', 'p4', 'p5', 'p6', 'p7'].map((name, index) =>
     instance(name, { dataCentre: index < 3 ? 'sesto-dc' : 'mestre-dc' }),
   );
@@ -95,24 +95,24 @@
     return chooseAudience({ self: sender, instances, source }).map(({ name }) => name);
   }
 
-  it('is the own data centre and the watchers of the others, for a submitter', () => {
+  it('goes from a submitter to its data centre and the watchers of the others', () => {
     const remoteWatchers = chooseWatchers({ instances, dataCentre: 'mestre-dc' });
     expect(listRecipientNames(self, 'patch').sort()).toEqual(
       ['p2', 'p3', ...remoteWatchers].sort(),
     );
   });
 
-  it('is whoever does not watch in the own data centre, for a watcher', () => {
+  it('goes from a watcher to the other instances of its data centre that do not watch', () => {
     expect(listRecipientNames(watcher, 'platform')).toEqual([other.name]);
     expect(listRecipientNames(watcher, 'peer')).toEqual([other.name]);
   });
 
-  it('is nobody for one that was told by a watcher, and all for one that had to ask itself', () => {
+  it('goes from another instance to its data centre only if it read the platform itself', () => {
     expect(listRecipientNames(other, 'peer')).toEqual([]);
     expect(listRecipientNames(other, 'platform').sort()).toEqual([...watchers].sort());
   });
 
-  it('asks the watchers of its data centre, and watches itself when it knows of none', () => {
+  it('uses the watchers of the data centre as sources, and watches if none is known', () => {
     const sources = chooseSources({ self, instances }).map(({ name }) => name);
     expect(sources.sort()).toEqual(watchers.filter((name) => name !== 'p1').sort());
     expect(isWatcher({ self, instances })).toBe(watchers.includes('p1'));
@@ -120,12 +120,9 @@
   });
 });
 
-describe('the view of the instances', () => {
-  /*
-   * A proxy asks twice and is answered by two copies of the list, the second older than the first:
-   * p3 seems to go and come back. Its connections would be given to others while it still holds them.
-   */
-  it('keeps an instance that a single list does not name', () => {
+describe('instance view', () => {
+  // An outdated list omits p3, whose connections must not be assigned to others while it is running.
+  it('keeps an instance that is missing from a single list', () => {
     expect(describeInstances(viewAfter([['p2', 'p3'], ['p2']]))).toEqual(['p1', 'p2', 'p3']);
     expect(describeInstances(viewAfter([['p2', 'p3'], ['p2'], ['p2']]))).toEqual(['p1', 'p2']);
     expect(describeInstances(viewAfter([['p2', 'p3'], ['p2'], ['p3'], ['p2']]))).toEqual([
@@ -135,15 +132,12 @@
     ]);
   });
 
-  it('holds the instance itself though no list names it yet', () => {
+  it('contains the instance itself even if no list contains it', () => {
     expect(describeInstances(viewAfter([[]]))).toEqual(['p1']);
   });
 
-  /*
-   * p1 is replaced by another of the same name, while the list still shows the leaving of the first.
-   * The new one must not stop for it; an operator's drain, marked later, must be heeded.
-   */
-  it('heeds its own leaving only after a list has shown it live', () => {
+  // A list may still show a leaving predecessor of the same name; a later drain must take effect.
+  it('applies its own leaving state only after a list has shown it as live', () => {
     const drained = [instance('p1', { state: 'leaving' })];
     const merge = (view: InstanceView, instances: Instance[]): InstanceView =>
       mergeInstanceList({ view, instances, now: 0 });
@@ -154,11 +148,8 @@
     ]);
   });
 
-  /*
-   * p2 tells its peers that it leaves, then a list from before that arrives and shows it live. New
-   * work would go to an instance that is about to stop.
-   */
-  it('believes an announced leaving against an older list, for a while', () => {
+  // An older list must not direct new requests to an instance that is about to stop.
+  it('lets an announced departure override older lists for a limited time', () => {
     const left = mergeLeaving({ view: viewAfter([['p2']]), name: 'p2', now: 0 });
     expect(describeInstances(viewAfter([['p2']], left))).toEqual(['p1', 'p2 leaving']);
     const later = mergeInstanceList({
--- a/packages/core/src/test/reads.test.ts
+++ b/packages/core/src/test/reads.test.ts
@@ -2,7 +2,7 @@
 import { createScenario } from './engineScenario';
 
 describe('reads', () => {
-  it('serves fresh reads from replicas, those of the own data centre first', () => {
+  it('prefers replicas in the same data centre for fresh reads', () => {
     const scenario = createScenario();
     const reads = Array.from({ length: 20 }, () => {
       const read = scenario.read();
@@ -13,10 +13,9 @@
     expect(new Set(reads.flatMap(({ sentTo }) => sentTo))).toEqual(new Set(['b1']));
   });
 
-  it('leaves the primary to the writes while replicas keep up', () => {
-    // On inspection day all history reads pile up at the primary and slow down the entries. Writes
-    // come all the time and replicas are 30 ms behind.
-    // Cause: the end of the primary's log, which one of the first answers carries, is no replica's.
+  it('does not send reads to the primary while replicas are up to date', () => {
+    // Under continuous writes no replica has reached the primary's log end, so a floor taken from the
+    // primary's answer would send every read to the primary.
     const scenario = createScenario();
     ['b1', 'c1'].forEach((name) => Object.assign(scenario.member(name), { lagMilliseconds: 30 }));
     scenario.run(4_000);
@@ -29,10 +28,9 @@
     expect(reads.flatMap(({ sentTo }) => sentTo)).not.toContain('a1');
   });
 
-  it('shows a roaming session its own write through another instance without a token', () => {
-    // A technician logs a test, walks on, and the history on the next tablet lacks it. The write went
-    // through p1, the read goes through p2, whose nearest replica is far behind.
-    // Cause: p2 knows nothing of the write and takes what it saw earlier for the present.
+  it('returns the own write of a roaming session through another instance without a token', () => {
+    // p2 has not seen the write through p1, and its nearest replica lags far behind. Positions from
+    // before the read arrived must not be used as the floor.
     const scenario = createScenario({ instances: ['p1', 'p2'], slowMember: 'a1' });
     scenario.member('b1').lagMilliseconds = 30_000;
     scenario.run(500);
@@ -46,7 +44,7 @@
     }
   });
 
-  it('keeps a read with a token from a replica that has not applied it', () => {
+  it('does not send a read with a token to a replica that has not applied it', () => {
     const scenario = createScenario();
     scenario.member('b1').lagMilliseconds = 30_000;
     const write = scenario.write();
@@ -57,10 +55,9 @@
     expect(read.seen).toContain(write.requestId);
   });
 
-  it('keeps a read with a token from a member whose higher term began without the write', () => {
-    // A technician's entry is acknowledged and missing on the next page. It was held when a1 was cut
-    // off; b1 was promoted without it and cut off in turn; then a1 was promoted again, with it.
-    // Cause: b1's position is of a higher term than the entry's, and its log lacks the entry.
+  it('does not send a read with a token to a member whose higher term lacks the write', () => {
+    // b1 was promoted without the entry and then isolated; a1, which has it, was promoted again. b1's
+    // position has a higher term than the entry, but comparing positions alone is not sufficient.
     const scenario = createScenario();
     ['a1', 'b1', 'c1'].forEach((name) =>
       Object.assign(scenario.member(name), { isCutFromGroup: true }),
@@ -82,10 +79,8 @@
     expect(read.seen).toContain(write.requestId);
   });
 
-  it('serves data of a stated age from a replica until it is too old', () => {
-    // A building manager reads a history that is a day old although the kind allows ten seconds.
-    // Replication to the nearest replica stands still while writes go on.
-    // Cause: a replica that answers promptly looks fresh, whatever its data.
+  it('serves stale reads from a replica until the accepted staleness is exceeded', () => {
+    // A replica whose replication has stopped still answers promptly, but its data becomes too old.
     const scenario = createScenario();
     const kind = { maximumStalenessMilliseconds: 2_000 };
     scenario.member('b1').isCutFromGroup = true;
@@ -103,10 +98,9 @@
     expect(served.every(({ sentTo }) => sentTo.length > 0)).toBe(true);
   });
 
-  it('knows the age of a replica that has been far behind for long', () => {
-    // History reads that accept 45 seconds all go to the primary on the day of a slow link, or show
-    // data that is older than they accept. The nearest replica has been 40 seconds behind for a
-    // minute of steady writes. Cause: what the group held that long ago has been forgotten.
+  it('bounds the staleness of a replica that has lagged far behind for a long time', () => {
+    // Samples must cover the accepted staleness: losing old ones would disqualify a replica that lags
+    // by 40 s, although the read accepts 45 s.
     const scenario = createScenario();
     scenario.member('b1').lagMilliseconds = 40_000;
     const writes: { at: number; requestId: string }[] = [];
@@ -121,11 +115,11 @@
     scenario.runUntil(() => accepting.outcome !== undefined && stricter.outcome !== undefined);
     expect(accepting.sentTo).toEqual(['b1']);
     expect(stricter.sentTo).toEqual(['c1']);
-    const due = writes.filter(({ at }) => at < askedAt - 45_000).at(-1);
-    expect(accepting.seen).toContain(due?.requestId);
+    const requiredWrite = writes.filter(({ at }) => at < askedAt - 45_000).at(-1);
+    expect(accepting.seen).toContain(requiredWrite?.requestId);
   }, 60_000);
 
-  it('goes on with reads of a stated age while two databases are gone, and only with those', () => {
+  it('serves only stale reads while two databases are down', () => {
     const scenario = createScenario();
     scenario.run(200);
     scenario.member('a1').state = 'down';
@@ -138,7 +132,7 @@
     expect(fresh.outcome).toMatchObject({ status: 'notRun', reason: 'noFreshMember' });
   });
 
-  it('repeats a read whose answer was lost on another member', () => {
+  it('repeats a read on another member when its answer is lost', () => {
     const scenario = createScenario();
     scenario.member('b1').loseAnswers = 1;
     const read = scenario.read();
@@ -147,9 +141,9 @@
     expect(read.sentTo).toEqual(['b1', 'c1']);
   });
 
-  it('takes a read away from a replica that froze with it', () => {
-    // An officer waits at a locked door for the whole deadline. The nearest replica froze while the
-    // read ran; its connection stays open. Cause: no error comes from a database that says nothing.
+  it('moves a read from a frozen replica to another member', () => {
+    // The connection to a frozen replica stays open and reports no error, so the read must not wait for
+    // its deadline.
     const scenario = createScenario();
     const read = scenario.read({ deadlineAt: scenario.now() + 10_000 });
     scenario.runUntil(() => read.sentTo.length === 1);
@@ -160,10 +154,9 @@
     expect(waited).toBeLessThan(2_000);
   });
 
-  it('leaves a read that keeps every member busy where it is at the second attempt', () => {
-    // An officer asks for the whole history of a hospital. Each database works on it for longer than
-    // it takes to count as silent, and answers nothing else meanwhile. Taken away from one after the
-    // other the read would never end. Cause: a busy database looks like a frozen one.
+  it('does not move a slow read again after its second attempt', () => {
+    // A database that is busy with a long read looks like a frozen one. Moving the read every time
+    // would keep it from ever completing.
     const scenario = createScenario();
     const read = scenario.read({ deadlineAt: scenario.now() + 10_000 });
     scenario.runUntil(() => read.sentTo.length === 1);
--- a/packages/core/src/test/session.test.ts
+++ b/packages/core/src/test/session.test.ts
@@ -48,12 +48,12 @@
 ];
 
 describe('classifyStatement', () => {
-  it('tells what each statement asks of the proxy', () => {
+  it('classifies each statement', () => {
     const table = Object.fromEntries(statements.map((sql) => [sql, classifyStatement(sql)]));
     expect(table).toMatchSnapshot();
   });
 
-  it('takes time in proportion to a long text', () => {
+  it('takes linear time for a long string literal', () => {
     const text = `SELECT '${"\\'x''".repeat(300_000)}' FROM tests`;
     expect(classifyStatement(text).request).toEqual({ type: 'read' });
   });
@@ -65,14 +65,13 @@
     { group: 'archivio-luci-2', position: { term: 1, index: 4 } },
   ];
 
-  it('comes back as it was written', () => {
+  it('round-trips through encoding', () => {
     expect(decodeToken(encodeToken(positions))).toEqual(positions);
     expect(decodeToken(encodeToken([]))).toEqual([]);
   });
 
-  // A form field cuts the token, or a person mistypes it. Taken as it is, it could ask for an older
-  // position than the session wrote, and the read would miss the session's own record.
-  it('is refused when any character of it is lost or changed', () => {
+  // A truncated or mistyped token could name an older position, so that reads miss the session's writes.
+  it('is rejected when any character is missing or changed', () => {
     const token = encodeToken(positions);
     for (let index = 0; index < token.length; index += 1) {
       const cut = token.slice(0, index) + token.slice(index + 1);
@@ -88,9 +87,9 @@
   const set = (name: string, value: string) =>
     ({ scope: 'session', name: `wisterialift_${name}`, value }) as const;
 
-  // A technician's session is open at two proxies: it writes at B, then reads at A. A's own writes
-  // are older than B's, so a floor taken from them would show the record as missing.
-  it('has no floor of its own unless the caller carries the token or does not roam', () => {
+  // A roaming session may write through another proxy, so that a floor from the writes of this one
+  // would be too low.
+  it('has a floor only if the caller supplies a token or roaming is off', () => {
     const session = createSession();
     session.addWrite(group, { term: 1, index: 5 });
     expect(session.floorOf(group)).toBeUndefined();
@@ -109,7 +108,7 @@
     expect(session.floorOf(group)).toEqual({ term: 2, index: 1 });
   });
 
-  it('refuses what its variables do not take', () => {
+  it('rejects unknown variables and invalid values', () => {
     const session = createSession();
     expect(() => session.assign(set('token', 'w1.x.y'))).toThrow(InvalidTokenError);
     expect(() => session.assign(set('kind', 'No Kind'))).toThrow('not the name of a kind');
