--- a/packages/core/src/lib/acknowledgement/confirmationTracker.ts
+++ b/packages/core/src/lib/acknowledgement/confirmationTracker.ts
@@ -44,7 +44,7 @@
  *
  * A write is confirmed once a majority, queried after the write completed, reports the term of the
  * write and a log that reaches its position. A promotion needs a majority that has recorded a higher
- * term; the two share a member, so the new log contains the write.
+ * term. A member of both reported before it recorded that term, so the new log contains the write.
  *
  * @internal
  */
