--- a/packages/core/src/lib/acknowledgement/confirmationTracker.ts
+++ b/packages/core/src/lib/acknowledgement/confirmationTracker.ts
@@ -9,13 +9,13 @@
   term: number;
   /** Undefined if the statement wrote no log entry. */
   position: Position | undefined;
-  /** First status query sent after the write completed; earlier answers do not confirm it. */
+  /** First status request sent after the write completed; earlier answers do not confirm it. */
   firstQuestionId: number;
   completedAt: number;
 }
 
 /**
- * Outcome of a held write: confirmed by a majority, present in the log of a newer primary, or absent
+ * Outcome of a pending write: confirmed by a majority, present in the log of a newer primary, or absent
  * from it.
  *
  * @internal
@@ -35,46 +35,47 @@
   /** Removes and returns the writes whose outcome is known, in order of completion. */
   takeSettled: () => SettledWrite[];
   size: () => number;
-  /** Returns the oldest held write that has a log entry. */
+  /** Returns the oldest pending write that has a log entry. */
   oldest: () => HeldWrite | undefined;
 }
 
 /**
  * Creates the tracker that decides when a write may be acknowledged.
  *
- * A write is confirmed once a majority, queried after the write completed, reports the term of the
- * write and a log that reaches its position. A promotion needs a majority that has recorded a higher
- * term. A member of both reported before it recorded that term, so the new log contains the write.
+ * A write is confirmed once a majority, asked after the write completed, reports the term of the write
+ * and a log that reaches its position. A promotion needs a majority that has recorded a higher term.
+ * The two majorities share a member, which reported the write before it recorded the higher term; the
+ * new log therefore contains the write.
  *
  * @internal
  */
 export function createConfirmationTracker(members: MemberTable): ConfirmationTracker {
-  const held = new Map<string, HeldWrite>();
+  const pendingWrites = new Map<string, HeldWrite>();
 
   function takeSettled(): SettledWrite[] {
     const settled: SettledWrite[] = [];
-    if (held.size === 0) return settled;
+    if (pendingWrites.size === 0) return settled;
     const establishedPrimary = findEstablishedPrimary(members);
-    held.forEach((write) => {
+    pendingWrites.forEach((write) => {
       const settlement = determineOutcome(write, members, establishedPrimary);
       if (settlement) settled.push({ write, settlement });
     });
-    settled.forEach(({ write }) => held.delete(write.requestId));
+    settled.forEach(({ write }) => pendingWrites.delete(write.requestId));
     return settled;
   }
 
   function oldest(): HeldWrite | undefined {
-    for (const write of held.values()) {
+    for (const write of pendingWrites.values()) {
       if (write.position) return write;
     }
     return undefined;
   }
 
   return {
-    hold: (write) => held.set(write.requestId, write),
-    remove: (requestId) => held.delete(requestId),
+    hold: (write) => pendingWrites.set(write.requestId, write),
+    remove: (requestId) => pendingWrites.delete(requestId),
     takeSettled,
-    size: () => held.size,
+    size: () => pendingWrites.size,
     oldest,
   };
 }
@@ -106,8 +107,8 @@
 }
 
 /**
- * Finds the primary whose term is in the log of a majority; its log is final. Until then a later
- * promotion can still start from another log.
+ * Finds the primary once the logs of a majority end in its term. Until then a later promotion can still
+ * start from another log.
  */
 function findEstablishedPrimary(members: MemberTable): MemberStatus | undefined {
   const status = members.primary()?.status;
