--- a/packages/core/src/lib/admission/admissionQueue.ts
+++ b/packages/core/src/lib/admission/admissionQueue.ts
@@ -13,7 +13,14 @@
   arrivedAt: number;
 }
 
-/** Result of an offer; `evicted` is the queued request that was removed to make room. @public */
+/**
+ * Result of an offer.
+ *
+ * `evicted` is the queued request that was removed to make room; `retryAfterMilliseconds` applies to
+ * the rejected or evicted request.
+ *
+ * @public
+ */
 export type AdmissionResult<T> =
   | { accepted: true; evicted?: T; retryAfterMilliseconds?: number }
   | { accepted: false; retryAfterMilliseconds: number };
@@ -27,8 +34,7 @@
 /** @public */
 export interface AdmissionQueue<T extends QueuedRequest> {
   /**
-   * Enqueues a request, or rejects it with a retry delay. The caller must send a final answer to an
-   * `evicted` request.
+   * Enqueues a request, or rejects it with a retry delay. An `evicted` request must still be answered.
    */
   offer: (request: T, now: number) => AdmissionResult<T>;
   /** Requeues a request that was taken but not run, ahead of its caller's requests of equal priority. */
@@ -42,11 +48,14 @@
   expire: (now: number) => T[];
   remove: (requestId: string) => T | undefined;
   length: () => number;
-  /** Latest time at which `expire` returns a request, in milliseconds; undefined if empty. */
+  /**
+   * Time in milliseconds after which `expire` removes the request with the earliest deadline; undefined
+   * if empty.
+   */
   nextDeadline: () => number | undefined;
   /** @param milliseconds - service time of a completed request. */
   recordCompletion: (milliseconds: number, now: number) => void;
-  /** Estimated time until the queue has drained, in whole milliseconds. */
+  /** Estimated time until the queue has drained, in whole milliseconds between 10 and 5,000. */
   retryAfter: (now: number) => number;
 }
 
@@ -59,15 +68,15 @@
 interface CallerQueue<T> {
   caller: string;
   weight: number;
-  /** Virtual time at which the caller's last taken request finishes at its share. */
-  virtualFinishTime: number;
+  /** Virtual time at which the caller's next request starts; callers are served in this order. */
+  virtualStartTime: number;
   length: number;
   /** Highest priority first, then oldest first; may contain removed entries. */
   byServiceOrder: ReturnType<typeof createHeap<Entry<T>>>;
   /** Lowest priority first, then newest first; may contain removed entries. */
   byEvictionOrder: ReturnType<typeof createHeap<Entry<T>>>;
   isScheduled: boolean;
-  /** Breaks ties of virtual finish time in scheduling order. */
+  /** Breaks ties of virtual start time in scheduling order. */
   scheduleSequence: number;
 }
 
@@ -82,8 +91,9 @@
 /**
  * Creates a bounded, deadline-aware queue with weighted fair queueing between callers.
  *
- * Uses start-time fair queueing. Priority applies only within a caller, because callers choose their
- * own request kinds. A full queue evicts from the caller with the most requests per weight.
+ * Uses start-time fair queueing. Priority applies only within a caller, because a caller chooses the
+ * kind of a request and thereby its priority. A full queue evicts from the caller with the most
+ * requests per weight.
  *
  * @example
  * ```ts
@@ -96,12 +106,12 @@
 export function createAdmissionQueue<T extends QueuedRequest>({
   capacity,
 }: AdmissionQueueOptions): AdmissionQueue<T> {
-  const estimate = createServiceEstimate();
+  const statistics = createServiceEstimate();
   const entries = new Map<string, Entry<T>>();
   const callers = new Map<string, CallerQueue<T>>();
   const schedule = createHeap<CallerQueue<T>>(
     (left, right) =>
-      left.virtualFinishTime - right.virtualFinishTime ||
+      left.virtualStartTime - right.virtualStartTime ||
       left.scheduleSequence - right.scheduleSequence,
   );
   const deadlines = createHeap<Entry<T>>(
@@ -119,7 +129,7 @@
   const createCallerQueue = (request: T): CallerQueue<T> => ({
     caller: request.caller,
     weight: request.weight,
-    virtualFinishTime: virtualTime,
+    virtualStartTime: virtualTime,
     length: 0,
     byServiceOrder: createHeap<Entry<T>>(compareForService),
     byEvictionOrder: createHeap<Entry<T>>((left, right) => compareForService(right, left)),
@@ -141,7 +151,7 @@
     queue.isScheduled = true;
     queue.scheduleSequence = nextSequence();
     // Idle time earns no credit; otherwise a returning caller would monopolize the service.
-    queue.virtualFinishTime = Math.max(queue.virtualFinishTime, virtualTime);
+    queue.virtualStartTime = Math.max(queue.virtualStartTime, virtualTime);
     schedule.push(queue);
   };
 
@@ -182,20 +192,20 @@
     // The cap keeps new requests startable after slow completions; the estimate can only recover if
     // requests run.
     const maximumServiceTime = (deadlineAt - arrivedAt) * MAXIMUM_SERVICE_TIME_FRACTION;
-    return deadlineAt - Math.min(estimate.serviceTimeBound(), maximumServiceTime);
+    return deadlineAt - Math.min(statistics.serviceTimeBound(), maximumServiceTime);
   };
 
   const estimateWait = (request: T): number => {
     const queue = callers.get(request.caller);
     if (!queue || queue.length === 0) return 0;
     const requestsAhead = (queue.length * activeWeight) / queue.weight;
-    return requestsAhead * estimate.completionInterval();
+    return requestsAhead * statistics.completionInterval();
   };
 
   const estimateRetryAfter = (): number =>
     Math.ceil(
       Math.min(
-        Math.max(entries.size * estimate.completionInterval(), MINIMUM_RETRY_AFTER_MILLISECONDS),
+        Math.max(entries.size * statistics.completionInterval(), MINIMUM_RETRY_AFTER_MILLISECONDS),
         MAXIMUM_RETRY_AFTER_MILLISECONDS,
       ),
     );
@@ -277,8 +287,8 @@
       if (taken === undefined) {
         skippedCallers.push(queue);
       } else {
-        virtualTime = Math.max(virtualTime, queue.virtualFinishTime);
-        queue.virtualFinishTime += 1 / queue.weight;
+        virtualTime = Math.max(virtualTime, queue.virtualStartTime);
+        queue.virtualStartTime += 1 / queue.weight;
         if (queue.length > 0) scheduleCaller(queue.caller);
       }
     }
@@ -317,7 +327,7 @@
     length: () => entries.size,
     nextDeadline,
     recordCompletion: (milliseconds, now) => {
-      estimate.recordCompletion(milliseconds, now, entries.size > 0);
+      statistics.recordCompletion(milliseconds, now, entries.size > 0);
     },
     retryAfter: estimateRetryAfter,
   };
--- a/packages/core/src/lib/admission/heap.ts
+++ b/packages/core/src/lib/admission/heap.ts
@@ -1,4 +1,4 @@
-/** A binary min-heap. @internal */
+/** A binary min-heap. @public */
 export interface Heap<T> {
   push: (item: T) => void;
   pop: () => T | undefined;
@@ -12,7 +12,7 @@
  * Creates an empty binary heap.
  *
  * @param compare - comparison function as for `Array.prototype.sort`.
- * @internal
+ * @public
  */
 export function createHeap<T>(compare: (left: T, right: T) => number): Heap<T> {
   let items: T[] = [];
--- a/packages/core/src/lib/admission/retryBudget.ts
+++ b/packages/core/src/lib/admission/retryBudget.ts
@@ -16,18 +16,18 @@
 /** Time in which an empty budget refills to `minimumTokens` without traffic. */
 const REFILL_MILLISECONDS = 10_000;
 /** Number of first attempts whose tokens can accumulate. */
-const MAXIMUM_CREDITED_FIRST_TRIES = 1_000;
+const MAXIMUM_CREDITED_FIRST_ATTEMPTS = 1_000;
 
 /**
  * Creates a token bucket that limits retries to a ratio of the first attempts.
  *
  * Prevents retry storms during an outage: only first attempts and a slow refill earn tokens, so
- * retries increase the load by at most `share`.
+ * retries increase the load by at most this ratio.
  *
  * @public
  */
 export function createRetryBudget({ share, minimumTokens }: RetryBudgetOptions): RetryBudget {
-  const maximumTokens = minimumTokens + share * MAXIMUM_CREDITED_FIRST_TRIES;
+  const maximumTokens = minimumTokens + share * MAXIMUM_CREDITED_FIRST_ATTEMPTS;
   let tokens = minimumTokens;
   let refilledAt: number | undefined;
 
--- a/packages/core/src/lib/admission/serviceEstimate.ts
+++ b/packages/core/src/lib/admission/serviceEstimate.ts
@@ -9,7 +9,7 @@
 }
 
 const SMOOTHING_FACTOR = 1 / 16;
-/** Number of mean deviations above the mean. */
+/** The bound on the service time is the mean plus this many mean deviations. */
 const BOUND_DEVIATIONS = 2;
 
 /**
