--- a/packages/core/src/lib/configuration/configurationFault.ts
+++ b/packages/core/src/lib/configuration/configurationFault.ts
@@ -7,7 +7,7 @@
   reason: string;
 }
 
-/** Converts schema validation issues into faults, with one fault per unknown key. */
+/** Converts schema validation issues into faults, with one fault per unknown key. @internal */
 export function describeFaults(error: z.ZodError): ConfigurationFault[] {
   return error.issues.flatMap(describeIssue);
 }
--- a/packages/core/src/lib/configuration/memberChanges.ts
+++ b/packages/core/src/lib/configuration/memberChanges.ts
@@ -10,6 +10,8 @@
  * Instances may use the old and the new members at the same time; with more than one change their
  * majorities may not overlap, which can lose acknowledged writes. Before the next change operators must
  * wait until all instances and members are up to date. A moved database must keep its log.
+ *
+ * @internal
  */
 export function findMemberChangeFaults(
   previousConfiguration: Configuration,
--- a/packages/core/src/lib/configuration/mergePatch.ts
+++ b/packages/core/src/lib/configuration/mergePatch.ts
@@ -1,4 +1,4 @@
-/** A JSON value. @public */
+/** A JSON value; not checked by the type. @public */
 export type JsonValue = unknown;
 
 /**
--- a/packages/core/src/lib/configuration/patchSubmission.ts
+++ b/packages/core/src/lib/configuration/patchSubmission.ts
@@ -74,7 +74,7 @@
     isExhausted: ({ context }) => context.failures >= context.maximumFailures,
   },
   actions: {
-    rememberObject: assign(({ context, event }) =>
+    applyReadObject: assign(({ context, event }) =>
       event.type === 'objectRead' ? applyReadObject(context, event.found) : {},
     ),
     countFailure: assign(({ context, event }) => ({
@@ -82,11 +82,11 @@
       mayHaveApplied:
         context.mayHaveApplied || (event.type === 'callFailed' && event.mayHaveApplied),
     })),
-    settleAccepted: assign(({ context }) => ({
+    setAcceptedOutcome: assign(({ context }) => ({
       outcome: { status: 'accepted', number: context.patch.againstNumber + 1 } as const,
     })),
-    settlePrepared: assign(({ context }) => ({ outcome: resolvePreparedPatch(context) })),
-    giveUp: assign(({ context }) => ({ outcome: createUnknownOutcome(context) })),
+    setPreparedOutcome: assign(({ context }) => ({ outcome: resolvePreparedPatch(context) })),
+    setUnknownOutcome: assign(({ context }) => ({ outcome: createUnknownOutcome(context) })),
   },
 }).createMachine({
   id: 'patchSubmission',
@@ -103,26 +103,26 @@
   states: {
     reading: {
       on: {
-        objectRead: { target: 'deciding', actions: 'rememberObject' },
+        objectRead: { target: 'deciding', actions: 'applyReadObject' },
         callFailed: { target: 'failed', actions: 'countFailure' },
       },
     },
     deciding: {
       always: [
         { guard: 'isReady', target: 'updating' },
-        { target: 'finished', actions: 'settlePrepared' },
+        { target: 'finished', actions: 'setPreparedOutcome' },
       ],
     },
     updating: {
       on: {
-        updateStored: { target: 'finished', actions: 'settleAccepted' },
+        updateStored: { target: 'finished', actions: 'setAcceptedOutcome' },
         updateConflicted: { target: 'failed', actions: 'countFailure' },
         callFailed: { target: 'failed', actions: 'countFailure' },
       },
     },
     failed: {
       always: [
-        { guard: 'isExhausted', target: 'finished', actions: 'giveUp' },
+        { guard: 'isExhausted', target: 'finished', actions: 'setUnknownOutcome' },
         { target: 'waiting' },
       ],
     },
@@ -192,18 +192,21 @@
   return createUnknownOutcome(context);
 }
 
-/** An accepted patch may have dropped out of the patch history; it is then not reported as outdated. */
+/**
+ * Returns `outdated`, or `unknown` if a sent update may have been applied and the patch history does not
+ * show another patch with its number.
+ */
 function resolveOutdatedPatch(context: SubmissionContext, presentNumber: number): PatchOutcome {
   const { current, mayHaveApplied, patch } = context;
   if (!mayHaveApplied) return { status: 'outdated', presentNumber };
-  const finding = settlePatch({ configurationObject: current, ...patch });
-  if (finding.status === 'refused') return { status: 'outdated', presentNumber };
+  const result = settlePatch({ configurationObject: current, ...patch });
+  if (result.status === 'refused') return { status: 'outdated', presentNumber };
   return { status: 'unknown', patchId: patch.patchId };
 }
 
 /**
- * A submission that sent no update is also `unknown`: it may repeat one that another instance
- * stored. Reporting a failure could lead the operator to apply the change twice.
+ * Returns `unknown` even if no update was sent: the same patch may have been submitted through another
+ * instance and stored. Reporting a failure could lead the operator to apply the change twice.
  */
 function createUnknownOutcome({ patch }: SubmissionContext): PatchOutcome {
   return { status: 'unknown', patchId: patch.patchId };
--- a/packages/core/src/lib/configuration/preparePatch.ts
+++ b/packages/core/src/lib/configuration/preparePatch.ts
@@ -16,7 +16,7 @@
   | { status: 'ready'; configurationObject: ConfigurationObject }
   /** The patch has already been accepted with this number. */
   | { status: 'alreadyAccepted'; number: number }
-  /** The patch was created against an older number. */
+  /** The patch was created against a number other than the current one. */
   | { status: 'outdated'; presentNumber: number }
   | { status: 'invalid'; faults: ConfigurationFault[] };
 
--- a/packages/core/src/lib/configuration/settlePatch.ts
+++ b/packages/core/src/lib/configuration/settlePatch.ts
@@ -4,7 +4,7 @@
 /** Status of a submitted patch according to a configuration object. @public */
 export type PatchFinding =
   | { status: 'accepted'; patch: AcceptedPatch }
-  /** Another patch has the number; this one can no longer be applied. */
+  /** Another patch has the number after `againstNumber`; this one can no longer be applied. */
   | { status: 'refused'; presentNumber: number }
   /** Not applied yet; a delayed update may still be applied, and resubmitting is safe. */
   | { status: 'pending'; presentNumber: number }
