--- a/packages/core/src/lib/membership/audience.ts
+++ b/packages/core/src/lib/membership/audience.ts
@@ -20,7 +20,8 @@
 /**
  * Chooses the instances to which an instance forwards a new configuration.
  *
- * - After a patch: its data centre and the watchers of the others, in case the platform fails.
+ * - An instance that accepted a patch: its data centre and the watchers of the others, in case the
+ *   platform fails.
  * - A watcher: the other instances of its data centre that do not watch.
  * - Another instance that read the platform: its data centre, as its watchers may have failed.
  * - Another instance that received it from a peer: none, so that forwarding ends.
@@ -32,18 +33,18 @@
 ): Instance[] {
   const { self, instances, source } = options;
   const watchers = new Set(listAllWatcherNames(instances));
-  const isNotifyingWatchers = source === 'patch' || !watchers.has(self.name);
+  const canForwardToWatchers = source === 'patch' || !watchers.has(self.name);
   if (source === 'peer' && !watchers.has(self.name)) return [];
   return instances.filter(({ name, dataCentre }) => {
     if (name === self.name) return false;
-    if (watchers.has(name) && !isNotifyingWatchers) return false;
+    if (watchers.has(name) && !canForwardToWatchers) return false;
     return dataCentre === self.dataCentre || (source === 'patch' && watchers.has(name));
   });
 }
 
 /**
- * Orders the watchers of the data centre for requests for the latest platform state; the order
- * differs between instances to spread the load.
+ * Lists the other watchers of the data centre in the order in which this instance asks them for the
+ * latest platform state; the order differs between instances to spread the load.
  *
  * @public
  */
--- a/packages/core/src/lib/membership/backOff.ts
+++ b/packages/core/src/lib/membership/backOff.ts
@@ -10,6 +10,7 @@
  *
  * @param options.failures - consecutive failures, at least 1.
  * @param options.random - a number in [0, 1).
+ * @returns the pause in milliseconds.
  * @public
  */
 export function backOffMilliseconds(options: {
@@ -19,14 +20,15 @@
 }): number {
   const { failures, random, times } = options;
   const doubledMilliseconds = times.initialMilliseconds * 2 ** Math.min(failures - 1, 30);
-  const maximumPause = Math.min(times.maximumMilliseconds, doubledMilliseconds);
-  return maximumPause * (1 - random / 2);
+  const maximumPauseMilliseconds = Math.min(times.maximumMilliseconds, doubledMilliseconds);
+  return maximumPauseMilliseconds * (1 - random / 2);
 }
 
 /**
  * Varies a pause by up to half its length, to spread the polls of many instances.
  *
  * @param options.random - a number in [0, 1).
+ * @returns the pause in milliseconds.
  * @public
  */
 export function jitterMilliseconds(options: { milliseconds: number; random: number }): number {
--- a/packages/core/src/lib/membership/instanceView.ts
+++ b/packages/core/src/lib/membership/instanceView.ts
@@ -14,8 +14,11 @@
   readonly instance: Instance;
   /** Number of consecutive lists without this instance. */
   readonly missedLists: number;
-  /** Until this time, an announced departure overrides lists that show the instance as live. */
-  readonly leavingUntil: number | undefined;
+  /**
+   * Lists merged before this time do not make the instance live again; undefined if no announced
+   * departure applies.
+   */
+  readonly leavingOverrideUntil: number | undefined;
 }
 
 /** Number of consecutive lists without an instance after which the view drops it. @public */
@@ -72,17 +75,17 @@
   now: number;
 }): InstanceView {
   const { view, name, now } = options;
-  const leavingUntil = now + LEAVING_OVERRIDE_MILLISECONDS;
+  const leavingOverrideUntil = now + LEAVING_OVERRIDE_MILLISECONDS;
   const others = view.others.map((known) =>
-    known.instance.name === name ? { ...known, leavingUntil } : known,
+    known.instance.name === name ? { ...known, leavingOverrideUntil } : known,
   );
   return { ...view, others };
 }
 
 /** Returns the instances of a view sorted by name, with announced departures applied. @public */
 export function instancesOf(view: InstanceView): Instance[] {
-  const others = view.others.map(({ instance, leavingUntil }) =>
-    leavingUntil === undefined ? instance : { ...instance, state: 'leaving' as const },
+  const others = view.others.map(({ instance, leavingOverrideUntil }) =>
+    leavingOverrideUntil === undefined ? instance : { ...instance, state: 'leaving' as const },
   );
   return [view.self, ...others].sort((left, right) => (left.name < right.name ? -1 : 1));
 }
@@ -100,7 +103,11 @@
 
 function mergeInstance(view: InstanceView, instance: Instance, now: number): KnownInstance {
   const known = view.others.find((other) => other.instance.name === instance.name);
-  const leavingUntil = known?.leavingUntil;
-  const hasExpired = leavingUntil !== undefined && leavingUntil <= now;
-  return { instance, missedLists: 0, leavingUntil: hasExpired ? undefined : leavingUntil };
+  const leavingOverrideUntil = known?.leavingOverrideUntil;
+  const hasExpired = leavingOverrideUntil !== undefined && leavingOverrideUntil <= now;
+  return {
+    instance,
+    missedLists: 0,
+    leavingOverrideUntil: hasExpired ? undefined : leavingOverrideUntil,
+  };
 }
--- a/packages/core/src/lib/membership/rendezvous.ts
+++ b/packages/core/src/lib/membership/rendezvous.ts
@@ -30,20 +30,20 @@
   return names
     .map((name) => ({
       name,
-      weight: weightOf(name) / -Math.log(toUnitInterval(hashText(`${key}\n${name}`))),
+      score: weightOf(name) / -Math.log(toUnitInterval(hashText(`${key}\n${name}`))),
     }))
-    .sort(compareWeights)
+    .sort(compareScores)
     .map(({ name }) => name);
 }
 
-interface WeightedName {
+interface ScoredName {
   name: string;
-  weight: number;
+  score: number;
 }
 
-/** Compares names of equal weight alphabetically, so that the order is the same on all instances. */
-function compareWeights(left: WeightedName, right: WeightedName): number {
-  if (left.weight !== right.weight) return right.weight - left.weight;
+/** Compares names of equal score alphabetically, so that the order is the same on all instances. */
+function compareScores(left: ScoredName, right: ScoredName): number {
+  if (left.score !== right.score) return right.score - left.score;
   return left.name < right.name ? -1 : 1;
 }
 
