--- a/packages/core/src/lib/reads/floorRounds.ts
+++ b/packages/core/src/lib/reads/floorRounds.ts
@@ -3,9 +3,15 @@
 import { lowestMajorityEnd } from '../engine/memberTable';
 import type { Member, MemberTable } from '../engine/memberTable';
 
-/** A round of status queries shared by all reads that arrived before its first query. @internal */
+/**
+ * A round of status requests to all members, shared by the reads that arrived before its first request.
+ *
+ * The answers of a majority give the floor: the position that a read must reflect at least.
+ *
+ * @internal
+ */
 export interface FloorRound {
-  /** First status query of the round; earlier answers are ignored. */
+  /** First status request of the round; earlier answers are ignored. */
   firstQuestionId: number;
   /** Upper bound of the writes acknowledged before the round; undefined until a majority answers. */
   floor: Position | undefined;
@@ -17,20 +23,20 @@
 
 /** @internal */
 export interface FloorRounds {
-  /** Returns the round for a new read; the caller must later call `leave`. */
+  /** Returns the round for a new read; call `leave` when the read ends. */
   join: (nextQuestionId: number) => FloorRound;
   leave: (round: FloorRound) => void;
   /** Updates the rounds with a new answer. */
   onAnswered: (member: Member) => void;
-  /** First status query of the newest round without a floor; 0 if there is none. */
+  /** Returns the first status request of the newest round without a floor; 0 if there is none. */
   newestOpen: () => number;
 }
 
 /**
- * Creates the rounds that determine the minimum position for reads without a token.
+ * Creates the rounds that determine the floor of reads without a token.
  *
  * Preserves read-your-writes for sessions that write through another instance: a majority holds each
- * acknowledged write and overlaps with any majority queried after the read arrived. Each majority
+ * acknowledged write and overlaps with any majority asked after the read arrived. Each majority
  * gives a valid bound, so further answers only lower the floor.
  *
  * @internal
--- a/packages/core/src/lib/routing/requestRouter.ts
+++ b/packages/core/src/lib/routing/requestRouter.ts
@@ -10,7 +10,7 @@
 
 /** How long a read waits for an up-to-date replica before it is sent to the primary. */
 const REPLICA_WAIT_MILLISECONDS = 50;
-/** Consecutive failed status queries after which a member gets no new requests. */
+/** Consecutive failed status requests after which a member gets no new requests. */
 const UNUSABLE_MEMBER_FAILURES = 2;
 
 /** @internal */
@@ -26,7 +26,7 @@
   /** Returns the reason why a queued request has not been sent. */
   reasonOf: (request: TrackedRequest, now: number) => NotRunReason;
   isSilent: (member: Member, now: number) => boolean;
-  /** Whether queued requests depend on new answers of members. */
+  /** Whether queued requests wait for new status answers rather than for capacity. */
   waitsForMembers: (now: number) => boolean;
 }
 
@@ -80,7 +80,10 @@
     return isWaitingForReplica(request, primary, now) ? undefined : route;
   }
 
-  /** Reads wait briefly for an up-to-date replica, but not for a lagging one. */
+  /**
+   * Returns whether the read should wait for an up-to-date replica instead of using the primary; the
+   * first call starts the wait. Lagging replicas are waited for only until they answer the read's round.
+   */
   function isWaitingForReplica(request: TrackedRequest, primary: Member, now: number): boolean {
     if (request.patienceUntil === undefined) {
       const halfOfRemainingTime = (request.deadlineAt - now) / 2;
