--- a/packages/core/src/lib/session/classifyStatement.ts
+++ b/packages/core/src/lib/session/classifyStatement.ts
@@ -17,7 +17,7 @@
  * Functions that depend on connection state or have side effects; unsupported because connections
  * are shared between callers.
  */
-const connectionFunctions = new Set([
+const unsupportedFunctions = new Set([
   'GET_LOCK',
   'RELEASE_LOCK',
   'RELEASE_ALL_LOCKS',
@@ -66,10 +66,10 @@
   ROLLBACK: classifyRollback,
   SET: classifySet,
   USE: classifyUse,
-  INSERT: classifyChange,
-  REPLACE: classifyChange,
-  UPDATE: classifyChange,
-  DELETE: classifyChange,
+  INSERT: classifyWrite,
+  REPLACE: classifyWrite,
+  UPDATE: classifyWrite,
+  DELETE: classifyWrite,
   CREATE: (sql) =>
     /^\s*CREATE\s+TEMPORARY\b/i.test(sql) ? asUnsupported('a temporary table') : DEFINITION,
   ALTER: () => DEFINITION,
@@ -114,11 +114,11 @@
 function classifyExact(
   sql: string,
   pattern: RegExp,
-  request: StatementRequest,
+  classification: StatementRequest,
   unsupportedFeature: string,
 ): StatementRequest {
   const words = tokenizeStatement(sql).map(({ value }) => value);
-  return pattern.test(words.join(' ')) ? request : asUnsupported(unsupportedFeature);
+  return pattern.test(words.join(' ')) ? classification : asUnsupported(unsupportedFeature);
 }
 
 const RETURNING = /\bRETURNING\b/i;
@@ -127,7 +127,7 @@
  * Rejects RETURNING: an answer that ends with rows carries no log position, so the write could not be
  * confirmed by a majority.
  */
-function classifyChange(sql: string): StatementRequest {
+function classifyWrite(sql: string): StatementRequest {
   if (!RETURNING.test(sql)) return WRITE;
   const isReturning = tokenizeSql(sql).some(
     ({ type, value }) => type === 'word' && value === 'RETURNING',
@@ -176,23 +176,23 @@
 }
 
 /** Words that make a query a write at any nesting depth. */
-const changingWords = new Set(['INTO', 'UPDATE', 'DELETE', 'INSERT', 'REPLACE', 'CALL']);
+const writeKeywords = new Set(['INTO', 'UPDATE', 'DELETE', 'INSERT', 'REPLACE', 'CALL']);
 
 function classifyQuery(tokens: SqlToken[]): StatementRequest {
-  let request = READ;
+  let classification = READ;
   for (let index = 0; index < tokens.length; index += 1) {
     const { type, value } = tokens[index] as SqlToken;
     const next = tokens[index + 1]?.value;
     if (value === ';') return asUnsupported('more than one statement at a time');
     if (value === ':=') return asUnsupported('a user variable');
-    if (type === 'word' && next === '(' && connectionFunctions.has(value)) {
+    if (type === 'word' && next === '(' && unsupportedFunctions.has(value)) {
       return asUnsupported(value);
     }
-    if (isLockingClause(value, next)) request = LOCKING_READ;
-    const isLock = value === 'UPDATE' && tokens[index - 1]?.value === 'FOR';
-    if (type === 'word' && changingWords.has(value) && next !== '(' && !isLock) return WRITE;
+    if (isLockingClause(value, next)) classification = LOCKING_READ;
+    const isForUpdate = value === 'UPDATE' && tokens[index - 1]?.value === 'FOR';
+    if (type === 'word' && writeKeywords.has(value) && next !== '(' && !isForUpdate) return WRITE;
   }
-  return request;
+  return classification;
 }
 
 function isLockingClause(value: string, next: string | undefined): boolean {
@@ -235,17 +235,17 @@
       .slice(2)
       .replace(/^(session|local|global)\./i, '')
       .toLowerCase();
-    return withLabel(tokens, 1, { label: first.text, variable });
+    return parseLabel(tokens, 1, { label: first.text, variable });
   }
   const isFunction = informationFunctions.has(first.value) && second?.value === '(';
   if (!isFunction || third?.value !== ')') return undefined;
-  return withLabel(tokens, 3, {
+  return parseLabel(tokens, 3, {
     label: `${first.text}()`,
     variable: `${first.value.toLowerCase()}()`,
   });
 }
 
-function withLabel(tokens: SqlToken[], length: number, column: VariableColumn): SelectItem {
+function parseLabel(tokens: SqlToken[], length: number, column: VariableColumn): SelectItem {
   const next = tokens[length];
   const label = next?.value === 'AS' ? tokens[length + 1] : next;
   if (!label || label.type === 'symbol') return { column, length };
--- a/packages/core/src/lib/session/session.ts
+++ b/packages/core/src/lib/session/session.ts
@@ -23,7 +23,8 @@
   /** Records the log position of an acknowledged write of this connection. */
   addWrite: (group: string, position: Position) => void;
   /**
-   * Returns the minimum position that a read must reflect.
+   * Returns the minimum position that a read must reflect, after adding the positions of `token` to the
+   * session.
    *
    * @param token - token from the statement's leading comment.
    * @returns undefined if the engine must query the group for the position.
--- a/packages/core/src/lib/session/sqlTokens.ts
+++ b/packages/core/src/lib/session/sqlTokens.ts
@@ -9,7 +9,7 @@
 const TOKEN_PATTERN =
   /(?<space>\s+|--(?=\s|$)[^\n]*|#[^\n]*|\/\*(?!!)[\s\S]*?\*\/)|(?<string>'[^'\\]*(?:(?:\\[\s\S]|'')[^'\\]*)*'|"[^"\\]*(?:(?:\\[\s\S]|"")[^"\\]*)*")|(?<identifier>`[^`]*(?:``[^`]*)*`)|(?<variable>@@?(?:[\w$]+\.)?[\w$]+)|(?<word>[A-Za-z_\u0080-\uffff$][\w$\u0080-\uffff]*)|(?<number>\d[\w.]*)|(?<symbol>:=|\/\*!|[\s\S])/gy;
 
-const LEADING_SPACE = /^(?:\s+|--(?=\s|$)[^\n]*|#[^\n]*|\/\*(?!!)[\s\S]*?\*\/)*/;
+const LEADING_SPACE_AND_COMMENTS = /^(?:\s+|--(?=\s|$)[^\n]*|#[^\n]*|\/\*(?!!)[\s\S]*?\*\/)*/;
 const FIRST_WORD = /^\(*\s*([A-Za-z]+)/;
 
 const ESCAPES: Record<string, string> = {
@@ -38,7 +38,7 @@
 
 /** Returns a statement's first word in upper case, after comments and parentheses; '' if none. @internal */
 export function readFirstWord(sql: string): string {
-  const rest = sql.slice(LEADING_SPACE.exec(sql)?.[0].length ?? 0);
+  const rest = sql.slice(LEADING_SPACE_AND_COMMENTS.exec(sql)?.[0].length ?? 0);
   return FIRST_WORD.exec(rest)?.[1]?.toUpperCase() ?? '';
 }
 
--- a/packages/core/src/lib/session/statementOptions.ts
+++ b/packages/core/src/lib/session/statementOptions.ts
@@ -8,7 +8,7 @@
   session?: string;
 }
 
-/** Options of a statement without a leading comment. @public */
+/** Options of a statement without a leading comment. @internal */
 export const NO_STATEMENT_OPTIONS: StatementOptions = {};
 
 const OPTIONS_COMMENT = /^\s*\/\*\s*wisterialift\s([^*]*)\*\//;
