--- a/packages/core/src/test/acknowledgement.test.ts
+++ b/packages/core/src/test/acknowledgement.test.ts
@@ -43,8 +43,8 @@
     expect(write.outcome?.status).toBe('discarded');
   });
 
-  it('reports whether a held write survived a change of primary', () => {
-    // The primary fails with two held writes, of which only one was replicated to b1. The log that the
+  it('reports whether a pending write survived a change of primary', () => {
+    // The primary fails with two pending writes, of which only one was replicated to b1. The log that the
     // next term starts from determines both outcomes.
     const scenario = createScenario();
     scenario.member('c1').isCutFromGroup = true;
@@ -68,7 +68,8 @@
 
   it('does not report a write as discarded while it can still be recovered', () => {
     // b1 is promoted without the entry but fails before a majority has its term; the old primary, which
-    // has the entry, is promoted again. Reporting "discarded" would lead to a duplicate record.
+    // has the entry, is promoted again. Reporting "discarded" would make the
+    // caller repeat a write that is then applied twice.
     const scenario = createScenario();
     ['a1', 'c1'].forEach((name) => Object.assign(scenario.member(name), { isCutFromGroup: true }));
     scenario.member('b1').isCutFromGroup = true;
--- a/packages/core/src/test/admission.test.ts
+++ b/packages/core/src/test/admission.test.ts
@@ -95,7 +95,7 @@
     expect(queue.offer(createRequest('b0', { caller: 'b' }), 0)).toEqual({ accepted: true });
   });
 
-  it('skips requests that are not eligible and keeps their position', () => {
+  it('keeps the position of ineligible requests and requeues a taken request first', () => {
     const queue = createAdmissionQueue({ capacity: 10 });
     fill(queue, 'a', 3);
     expect(queue.takeNext(0, ({ requestId }) => requestId === 'a1')?.requestId).toBe('a1');
@@ -107,7 +107,7 @@
 });
 
 describe('retry budget', () => {
-  it('limits retries during an outage to the share of first attempts', () => {
+  it('limits retries during an outage to a ratio of the first attempts', () => {
     const budget = createRetryBudget({ share: 0.1, minimumTokens: 5 });
     let retries = 0;
     for (let now = 0; now < 1_000; now += 1) {
@@ -152,7 +152,7 @@
   });
 });
 
-describe('running limit', () => {
+describe('concurrency limit', () => {
   it('grows to all slots without queueing and shrinks to the fair share with queueing', () => {
     const limit = createRunningLimit({ slots: 6, instances: 3 });
     expect(limit.limit()).toBe(2);
--- a/packages/core/src/test/configuration.test.ts
+++ b/packages/core/src/test/configuration.test.ts
@@ -125,17 +125,17 @@
   });
 });
 
-describe('settlePatch', () => {
-  const settle = (configurationObject: ConfigurationObject, patchId: string): unknown =>
+describe('status of a submitted patch', () => {
+  const findStatus = (configurationObject: ConfigurationObject, patchId: string): unknown =>
     settlePatch({ configurationObject, patchId, againstNumber: 0 });
 
   it('distinguishes accepted, refused and pending patches', () => {
-    expect(settle(acceptMany(3), 'patch-1')).toMatchObject({
+    expect(findStatus(acceptMany(3), 'patch-1')).toMatchObject({
       status: 'accepted',
       patch: { patchId: 'patch-1', number: 1, author: 'operator' },
     });
-    expect(settle(acceptMany(3), 'other')).toEqual({ status: 'refused', presentNumber: 3 });
-    expect(settle(EMPTY_CONFIGURATION_OBJECT, 'other')).toEqual({
+    expect(findStatus(acceptMany(3), 'other')).toEqual({ status: 'refused', presentNumber: 3 });
+    expect(findStatus(EMPTY_CONFIGURATION_OBJECT, 'other')).toEqual({
       status: 'pending',
       presentNumber: 0,
     });
@@ -144,14 +144,14 @@
   // The object lists only the latest patches, so an older one must not be reported as refused.
   it('reports that the patch history no longer covers the number', () => {
     const presentNumber = REMEMBERED_PATCHES + 1;
-    expect(settle(acceptMany(presentNumber), 'patch-1')).toEqual({
+    expect(findStatus(acceptMany(presentNumber), 'patch-1')).toEqual({
       status: 'forgotten',
       presentNumber,
     });
   });
 });
 
-describe('adoptConfiguration', () => {
+describe('adoption of a configuration', () => {
   // A delayed answer must not restore an older configuration, for example a revoked caller.
   it('adopts only a higher number', () => {
     const candidate = acceptMany(3);
--- a/packages/core/src/test/configurationSubmission.test.ts
+++ b/packages/core/src/test/configurationSubmission.test.ts
@@ -12,7 +12,7 @@
 type UpdateStep = Extract<SubmissionStep, { type: 'updateObject' }>;
 
 /** How the platform handles one call. */
-type CallOutcome = 'answered' | 'lostBefore' | 'lostAfter' | 'appliedLater' | 'refusedConnection';
+type CallOutcome = 'answered' | 'requestLost' | 'answerLost' | 'appliedLater' | 'refusedConnection';
 
 /** One step of a simulated history: the operator that proceeds and the outcome of its call. */
 interface HistoryStep {
@@ -38,8 +38,8 @@
 
   const answerUpdate: Record<CallOutcome, (step: UpdateStep) => SubmissionEvent> = {
     answered: (step) => ({ type: update(step) ? 'updateStored' : 'updateConflicted' }),
-    lostBefore: () => ({ type: 'callFailed', mayHaveApplied: true }),
-    lostAfter: (step) => {
+    requestLost: () => ({ type: 'callFailed', mayHaveApplied: true }),
+    answerLost: (step) => {
       update(step);
       return { type: 'callFailed', mayHaveApplied: true };
     },
@@ -70,7 +70,7 @@
   };
 }
 
-function createOperator(operator: number): PatchSubmission {
+function createSubmission(operator: number): PatchSubmission {
   const patch = { patchId: `patch-${operator}`, againstNumber: 0, author: 'x', changes: {} };
   return createPatchSubmission({ patch, acceptedAt: '2026-01-01', maximumFailures: 3 });
 }
@@ -78,7 +78,7 @@
 /** Runs a history to its end and checks each outcome against the accepted patches. */
 function checkHistory(steps: HistoryStep[]): PatchOutcome[] {
   const platform = createFakePlatform();
-  const operators = [0, 1, 2].map(createOperator);
+  const operators = [0, 1, 2].map(createSubmission);
   const remainingSteps = operators.flatMap((unused, operator) =>
     Array.from<unknown, HistoryStep>({ length: 12 }, () => ({
       operator,
@@ -122,8 +122,8 @@
   operator: fc.nat({ max: 2 }),
   callOutcome: fc.constantFrom(
     'answered',
-    'lostBefore',
-    'lostAfter',
+    'requestLost',
+    'answerLost',
     'appliedLater',
     'refusedConnection',
   ),
@@ -143,9 +143,9 @@
 
   // A patch may have been applied although its answer and all later reads fail.
   it('reports unknown when the answer is lost and the platform becomes unavailable', () => {
-    const submission = createOperator(0);
+    const submission = createSubmission(0);
     const platform = createFakePlatform();
-    const callOutcomes: CallOutcome[] = ['answered', 'lostAfter', 'answered', 'refusedConnection'];
+    const callOutcomes: CallOutcome[] = ['answered', 'answerLost', 'answered', 'refusedConnection'];
     [...callOutcomes, ...callOutcomes.slice(2), ...callOutcomes.slice(2)].forEach(
       (callOutcome, index) => {
         const step = submission.step();
--- a/packages/core/src/test/membership.test.ts
+++ b/packages/core/src/test/membership.test.ts
@@ -150,10 +150,10 @@
 
   // An older list must not direct new requests to an instance that is about to stop.
   it('lets an announced departure override older lists for a limited time', () => {
-    const left = mergeLeaving({ view: viewAfter([['p2']]), name: 'p2', now: 0 });
-    expect(describeInstances(viewAfter([['p2']], left))).toEqual(['p1', 'p2 leaving']);
+    const departed = mergeLeaving({ view: viewAfter([['p2']]), name: 'p2', now: 0 });
+    expect(describeInstances(viewAfter([['p2']], departed))).toEqual(['p1', 'p2 leaving']);
     const later = mergeInstanceList({
-      view: left,
+      view: departed,
       instances: [instance('p2')],
       now: LEAVING_OVERRIDE_MILLISECONDS,
     });
--- a/packages/core/src/test/reads.test.ts
+++ b/packages/core/src/test/reads.test.ts
@@ -55,7 +55,7 @@
     expect(read.seen).toContain(write.requestId);
   });
 
-  it('does not send a read with a token to a member whose higher term lacks the write', () => {
+  it('does not send a read with a token to a member in a higher term whose log lacks the write', () => {
     // b1 was promoted without the entry and then isolated; a1, which has it, was promoted again. b1's
     // position has a higher term than the entry, but comparing positions alone is not sufficient.
     const scenario = createScenario();
