--- a/packages/core/src/lib/membership/rendezvous.ts
+++ b/packages/core/src/lib/membership/rendezvous.ts
@@ -13,9 +13,6 @@
  * The order depends only on the key, names and weights. Adding or removing a name does not change
  * the order of the others.
  *
- * @param options.weightOf - relative share of keys for which a name comes first, by logarithmic
- *   rendezvous hashing; 1 by default. Changing a weight moves keys only to or from that name.
- *
  * @example
  * orderByRendezvous({ key: 'archivio-1', names: ['p1', 'p2', 'p3'] })[0]; // first in order
  *
@@ -24,6 +21,10 @@
 export function orderByRendezvous(options: {
   key: string;
   names: readonly string[];
+  /**
+   * Returns the relative share of keys for which a name comes first, by logarithmic rendezvous hashing;
+   * 1 by default. Changing a weight moves keys only to or from that name.
+   */
   weightOf?: (name: string) => number;
 }): string[] {
   const { key, names, weightOf = () => 1 } = options;
