--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -18,7 +18,7 @@
 } from './lib/engine/messages';
 export {
   createAdmissionQueue,
-  type AdmissionOffer,
+  type AdmissionResult,
   type AdmissionQueue,
   type AdmissionQueueOptions,
   type QueuedRequest,
@@ -56,7 +56,7 @@
   type VariableColumn,
 } from './lib/session/statement';
 export { parseStatementOptions, type StatementOptions } from './lib/session/statementOptions';
-export { adoptConfiguration, type Adoption } from './lib/configuration/adoptConfiguration';
+export { adoptConfiguration, type AdoptionResult } from './lib/configuration/adoptConfiguration';
 export { type ConfigurationFault } from './lib/configuration/configurationFault';
 export { EMPTY_CONFIGURATION_OBJECT } from './lib/configuration/emptyConfiguration';
 export { mergePatch, type JsonValue } from './lib/configuration/mergePatch';
@@ -76,7 +76,7 @@
 } from './lib/configuration/preparePatch';
 export { settlePatch, type PatchFinding } from './lib/configuration/settlePatch';
 export {
-  LEAVING_MEMORY_MILLISECONDS,
+  LEAVING_OVERRIDE_MILLISECONDS,
   MISSED_LISTS_LIMIT,
   createInstanceView,
   instancesOf,
@@ -93,7 +93,7 @@
   chooseSources,
   isWatcher,
   type ConfigurationSource,
-  type Neighbourhood,
+  type InstancePerspective,
 } from './lib/membership/audience';
 export {
   backOffMilliseconds,
--- a/packages/core/src/lib/session/sqlTokens.ts
+++ b/packages/core/src/lib/session/sqlTokens.ts
@@ -1,15 +1,15 @@
-/** One lexical element of a statement; words are kept as written. @internal */
+/** A lexical token of a SQL statement; `text` is the original spelling. @internal */
 export interface SqlToken {
   type: 'word' | 'string' | 'identifier' | 'variable' | 'number' | 'symbol';
   text: string;
-  /** For words: in upper case. For quoted elements: without the quotes. Otherwise the text. */
+  /** Upper case for words, unquoted for strings and identifiers, otherwise equal to `text`. */
   value: string;
 }
 
 const TOKEN_PATTERN =
   /(?<space>\s+|--(?=\s|$)[^\n]*|#[^\n]*|\/\*(?!!)[\s\S]*?\*\/)|(?<string>'[^'\\]*(?:(?:\\[\s\S]|'')[^'\\]*)*'|"[^"\\]*(?:(?:\\[\s\S]|"")[^"\\]*)*")|(?<identifier>`[^`]*(?:``[^`]*)*`)|(?<variable>@@?(?:[\w$]+\.)?[\w$]+)|(?<word>[A-Za-z_\u0080-\uffff$][\w$\u0080-\uffff]*)|(?<number>\d[\w.]*)|(?<symbol>:=|\/\*!|[\s\S])/gy;
 
-const LEADING_SPACE = /^(?:\s+|--(?=\s|$)[^\n]*|#[^\n]*|\/\*(?!!)[\s\S]*?\*\/)*/;
+const LEADING_SPACE_AND_COMMENTS = /^(?:\s+|--(?=\s|$)[^\n]*|#[^\n]*|\/\*(?!!)[\s\S]*?\*\/)*/;
 const FIRST_WORD = /^\(*\s*([A-Za-z]+)/;
 
 const ESCAPES: Record<string, string> = {
@@ -22,9 +22,8 @@
 };
 
 /**
- * Splits a statement into its lexical elements without spaces and comments.
- *
- * A comment of the form `/*! ... *\/` holds text that a database runs, so it is left in as symbols.
+ * Splits a statement into tokens, skipping white space and comments. Executable comments
+ * (`/*! ... *\/`) are kept.
  *
  * @internal
  */
@@ -37,9 +36,9 @@
   return tokens;
 }
 
-/** First word of a statement in upper case, past comments and brackets; empty where there is none. @internal */
-export function firstWordOf(sql: string): string {
-  const rest = sql.slice(LEADING_SPACE.exec(sql)?.[0].length ?? 0);
+/** Returns a statement's first word in upper case, after comments and parentheses; '' if none. @internal */
+export function readFirstWord(sql: string): string {
+  const rest = sql.slice(LEADING_SPACE_AND_COMMENTS.exec(sql)?.[0].length ?? 0);
   return FIRST_WORD.exec(rest)?.[1]?.toUpperCase() ?? '';
 }
 
--- a/packages/core/src/test/membership.test.ts
+++ b/packages/core/src/test/membership.test.ts
@@ -1,7 +1,7 @@
 import type { Instance } from '@wisterialift/schema';
 import { describe, expect, it } from 'vitest';
 import {
-  LEAVING_MEMORY_MILLISECONDS,
+  LEAVING_OVERRIDE_MILLISECONDS,
   chooseAudience,
   chooseSources,
   chooseWatchers,
@@ -36,17 +36,17 @@
   );
 }
 
-function namesOf(view: InstanceView): string[] {
+function describeInstances(view: InstanceView): string[] {
   return instancesOf(view).map(({ name, state }) => (state === 'live' ? name : `${name} leaving`));
 }
 
 describe('rendezvous hashing', () => {
-  it('finds the same order from any order of the names', () => {
+  it('does not depend on the order of the names', () => {
     const order = orderByRendezvous({ key: 'archivio-1', names: NAMES });
     expect(orderByRendezvous({ key: 'archivio-1', names: [...NAMES].reverse() })).toEqual(order);
   });
 
-  it('keeps the order of the others when one goes', () => {
+  it('keeps the order of the others when a name is removed', () => {
     const order = orderByRendezvous({ key: 'archivio-1', names: NAMES });
     const names = NAMES.filter((name) => name !== 'p4');
     expect(orderByRendezvous({ key: 'archivio-1', names })).toEqual(
@@ -54,7 +54,7 @@
     );
   });
 
-  it('spreads the keys over the names', () => {
+  it('distributes the keys evenly over the names', () => {
     const firsts = Array.from({ length: 7_000 }, (unused, key) => {
       const [first] = orderByRendezvous({ key: `group-${key}`, names: NAMES });
       return first;
@@ -67,8 +67,8 @@
   });
 });
 
-describe('the watchers of a data centre', () => {
-  it('are two of its live instances', () => {
+describe('chooseWatchers', () => {
+  it('chooses two live instances of the data centre', () => {
     const instances = [
       ...['p1', 'p2', 'p3'].map((name) => instance(name)),
       instance('p4', { state: 'leaving' }),
@@ -81,7 +81,7 @@
   });
 });
 
-describe('the audience of a configuration', () => {
+describe('forwarding of a configuration', () => {
   const instances = ['p1', 'p2', 'p3', 'p4', 'p5', 'p6', 'p7'].map((name, index) =>
     instance(name, { dataCentre: index < 3 ? 'sesto-dc' : 'mestre-dc' }),
   );
@@ -91,26 +91,28 @@
   const watcher = instances.find(({ name }) => watchers.includes(name))!;
   const other = instances.slice(0, 3).find(({ name }) => !watchers.includes(name))!;
 
-  function namesOfAudience(teller: Instance, source: ConfigurationSource): string[] {
-    return chooseAudience({ self: teller, instances, source }).map(({ name }) => name);
+  function listRecipientNames(sender: Instance, source: ConfigurationSource): string[] {
+    return chooseAudience({ self: sender, instances, source }).map(({ name }) => name);
   }
 
-  it('is the own data centre and the watchers of the others, for a submitter', () => {
-    const farWatchers = chooseWatchers({ instances, dataCentre: 'mestre-dc' });
-    expect(namesOfAudience(self, 'patch').sort()).toEqual(['p2', 'p3', ...farWatchers].sort());
+  it('goes from a submitter to its data centre and the watchers of the others', () => {
+    const remoteWatchers = chooseWatchers({ instances, dataCentre: 'mestre-dc' });
+    expect(listRecipientNames(self, 'patch').sort()).toEqual(
+      ['p2', 'p3', ...remoteWatchers].sort(),
+    );
   });
 
-  it('is whoever does not watch in the own data centre, for a watcher', () => {
-    expect(namesOfAudience(watcher, 'platform')).toEqual([other.name]);
-    expect(namesOfAudience(watcher, 'peer')).toEqual([other.name]);
+  it('goes from a watcher to the other instances of its data centre that do not watch', () => {
+    expect(listRecipientNames(watcher, 'platform')).toEqual([other.name]);
+    expect(listRecipientNames(watcher, 'peer')).toEqual([other.name]);
   });
 
-  it('is nobody for one that was told by a watcher, and all for one that had to ask itself', () => {
-    expect(namesOfAudience(other, 'peer')).toEqual([]);
-    expect(namesOfAudience(other, 'platform').sort()).toEqual([...watchers].sort());
+  it('goes from another instance to its data centre only if it read the platform itself', () => {
+    expect(listRecipientNames(other, 'peer')).toEqual([]);
+    expect(listRecipientNames(other, 'platform').sort()).toEqual([...watchers].sort());
   });
 
-  it('asks the watchers of its data centre, and watches itself when it knows of none', () => {
+  it('uses the watchers of the data centre as sources, and watches if none is known', () => {
     const sources = chooseSources({ self, instances }).map(({ name }) => name);
     expect(sources.sort()).toEqual(watchers.filter((name) => name !== 'p1').sort());
     expect(isWatcher({ self, instances })).toBe(watchers.includes('p1'));
@@ -118,46 +120,43 @@
   });
 });
 
-describe('the view of the instances', () => {
-  /*
-   * A proxy asks twice and is answered by two copies of the list, the second older than the first:
-   * p3 seems to go and come back. Its connections would be given to others while it still holds them.
-   */
-  it('keeps an instance that a single list does not name', () => {
-    expect(namesOf(viewAfter([['p2', 'p3'], ['p2']]))).toEqual(['p1', 'p2', 'p3']);
-    expect(namesOf(viewAfter([['p2', 'p3'], ['p2'], ['p2']]))).toEqual(['p1', 'p2']);
-    expect(namesOf(viewAfter([['p2', 'p3'], ['p2'], ['p3'], ['p2']]))).toEqual(['p1', 'p2', 'p3']);
+describe('instance view', () => {
+  // An outdated list omits p3, whose connections must not be assigned to others while it is running.
+  it('keeps an instance that is missing from a single list', () => {
+    expect(describeInstances(viewAfter([['p2', 'p3'], ['p2']]))).toEqual(['p1', 'p2', 'p3']);
+    expect(describeInstances(viewAfter([['p2', 'p3'], ['p2'], ['p2']]))).toEqual(['p1', 'p2']);
+    expect(describeInstances(viewAfter([['p2', 'p3'], ['p2'], ['p3'], ['p2']]))).toEqual([
+      'p1',
+      'p2',
+      'p3',
+    ]);
   });
 
-  it('holds the instance itself though no list names it yet', () => {
-    expect(namesOf(viewAfter([[]]))).toEqual(['p1']);
+  it('contains the instance itself even if no list contains it', () => {
+    expect(describeInstances(viewAfter([[]]))).toEqual(['p1']);
   });
 
-  /*
-   * p1 is replaced by another of the same name, while the list still shows the leaving of the first.
-   * The new one must not stop for it; an operator's drain, marked later, must be heeded.
-   */
-  it('heeds its own leaving only after a list has shown it live', () => {
+  // A list may still show a leaving predecessor of the same name; a later drain must take effect.
+  it('applies its own leaving state only after a list has shown it as live', () => {
     const drained = [instance('p1', { state: 'leaving' })];
     const merge = (view: InstanceView, instances: Instance[]): InstanceView =>
       mergeInstanceList({ view, instances, now: 0 });
     const fresh = merge(createInstanceView(instance('p1')), drained);
-    expect(namesOf(fresh)).toEqual(['p1']);
-    expect(namesOf(merge(merge(fresh, [instance('p1')]), drained))).toEqual(['p1 leaving']);
+    expect(describeInstances(fresh)).toEqual(['p1']);
+    expect(describeInstances(merge(merge(fresh, [instance('p1')]), drained))).toEqual([
+      'p1 leaving',
+    ]);
   });
 
-  /*
-   * p2 tells its peers that it leaves, then a list from before that arrives and shows it live. New
-   * work would go to an instance that is about to stop.
-   */
-  it('believes an announced leaving against an older list, for a while', () => {
-    const left = mergeLeaving({ view: viewAfter([['p2']]), name: 'p2', now: 0 });
-    expect(namesOf(viewAfter([['p2']], left))).toEqual(['p1', 'p2 leaving']);
+  // An older list must not direct new requests to an instance that is about to stop.
+  it('lets an announced departure override older lists for a limited time', () => {
+    const departed = mergeLeaving({ view: viewAfter([['p2']]), name: 'p2', now: 0 });
+    expect(describeInstances(viewAfter([['p2']], departed))).toEqual(['p1', 'p2 leaving']);
     const later = mergeInstanceList({
-      view: left,
+      view: departed,
       instances: [instance('p2')],
-      now: LEAVING_MEMORY_MILLISECONDS,
+      now: LEAVING_OVERRIDE_MILLISECONDS,
     });
-    expect(namesOf(later)).toEqual(['p1', 'p2']);
+    expect(describeInstances(later)).toEqual(['p1', 'p2']);
   });
 });
