--- a/packages/core/src/lib/engine/groupEngine.ts
+++ b/packages/core/src/lib/engine/groupEngine.ts
@@ -1,8 +1,8 @@
 import { createFailoverController } from '../failover/failoverController';
-import type { ControlOrder } from '../failover/controlOrder';
+import type { FailoverCommand } from '../failover/failoverCommand';
 import type { FailoverTimes } from '../failover/failoverController';
-import { createPrimaryDetector } from '../failover/primaryDetector';
-import { createMemberPlaces } from './memberPlaces';
+import { createPrimaryFailureDetector } from '../failover/primaryFailureDetector';
+import { createMemberCapacity } from './memberCapacity';
 import { createMemberTable } from './memberTable';
 import type { Member } from './memberTable';
 import type {
@@ -14,30 +14,29 @@
   GroupEngineView,
   MemberView,
 } from './messages';
-import { createProbePace } from './probePace';
-import { createQuestionTable } from './questionTable';
-import type { Question } from './questionTable';
+import { createProbeIntervals } from './probeIntervals';
+import { createControlRequestTable } from './controlRequestTable';
+import type { ControlRequest } from './controlRequestTable';
 import { createRequestFlow } from './requestFlow';
-import { createStatusPump } from './statusPump';
+import { createStatusPoller } from './statusPoller';
 
 type Handlers = {
   [Type in EngineEvent['type']]: (event: Extract<EngineEvent, { type: Type }>, now: number) => void;
 };
 
-/** The shortest time for which the engine asks to be woken. */
-const SHORTEST_TIMER_MILLISECONDS = 1;
-/** Part of the suspicion time by which a timer may be late before the instance counts as paused. */
-const PAUSE_SHARE = 0.5;
-/** Shares of connections change with time alone; this is how often they are worked out anew. */
+const MINIMUM_TIMER_MILLISECONDS = 1;
+/** A timer later than this share of the suspicion time means that the process was paused. */
+const PAUSE_DETECTION_FACTOR = 0.5;
+/** Connection shares change over time without events, so they are recalculated periodically. */
 const SHARE_REFRESH_MILLISECONDS = 500;
 
-/** Times of detection and change of primary, in proportion to the suspicion time. */
+/** Failover times as multiples of the suspicion time, or of the request timeout for competitors. */
 const UNCONFIRMED_FACTOR = 1.5;
 const STRANDED_FACTOR = 4;
 const STAGGER_FACTOR = 0.25;
 const CHECK_FACTOR = 0.025;
-const LOOK_FACTOR = 0.25;
-const RIVAL_FACTOR = 0.5;
+const VERIFICATION_FACTOR = 0.25;
+const COMPETITOR_FACTOR = 0.5;
 const BACKOFF_FACTOR = 0.5;
 const FOLLOW_FACTOR = 0.5;
 const HANDOVER_GRACE_MILLISECONDS = 1_000;
@@ -45,24 +44,24 @@
 const HANDOVER_MILLISECONDS = 5_000;
 
 /**
- * Creates the decisions for one upstream group at one instance.
+ * Creates the engine that routes requests and manages failover for one upstream group.
  *
- * The engine holds no socket, timer or clock: every input is an event with its time, every order an
- * effect. The first event, whatever it is, starts the probes; `timerFired` does as well as any.
+ * The engine performs no I/O and reads no clock: inputs are timestamped events, outputs are effects.
+ * The first event of any type starts probing.
  *
  * @example
  * ```ts
  * const engine = createGroupEngine({ ...options, policy: DEFAULT_ENGINE_POLICY });
- * engine.handle({ type: 'timerFired' }, now).forEach(carryOut);
+ * engine.handle({ type: 'timerFired' }, now).forEach(applyEffect);
  * ```
  * @public
  */
 export function createGroupEngine(options: GroupEngineOptions): GroupEngine {
   const { group, instance, dataCentre, policy, random } = options;
-  const pauseMilliseconds = policy.suspicionMilliseconds * PAUSE_SHARE;
+  const pauseMilliseconds = policy.suspicionMilliseconds * PAUSE_DETECTION_FACTOR;
   const members = createMemberTable(options.databases);
-  const questions = createQuestionTable();
-  const places = createMemberPlaces(instance, options.databases);
+  const controlRequests = createControlRequestTable();
+  const capacity = createMemberCapacity(instance, options.databases);
   let effects: EngineEffect[] = [];
   let startedAt: number | undefined;
   let timerAt: number | undefined;
@@ -72,15 +71,19 @@
     effects.push(effect);
   }
 
-  function ask(member: Member, now: number): number {
-    const { questionId } = questions.add({ kind: 'status', member: member.name, askedAt: now });
+  function probe(member: Member, now: number): number {
+    const { questionId } = controlRequests.add({
+      kind: 'status',
+      member: member.name,
+      sentAt: now,
+    });
     emit({ type: 'askStatus', questionId, member: member.name });
     return questionId;
   }
 
-  function order(draft: ControlOrder, now: number): number {
+  function sendCommand(draft: FailoverCommand, now: number): number {
     const { type: kind, member } = draft;
-    const { questionId } = questions.add({ kind, member, askedAt: now });
+    const { questionId } = controlRequests.add({ kind, member, sentAt: now });
     emit({ ...draft, questionId });
     return questionId;
   }
@@ -89,13 +92,13 @@
     policy,
     dataCentre,
     members,
-    places,
-    nextQuestionId: questions.nextId,
+    places: capacity,
+    nextControlRequestId: controlRequests.nextId,
     holdsWrites,
     onConfirmed,
     emit,
   });
-  const detector = createPrimaryDetector({
+  const detector = createPrimaryFailureDetector({
     members,
     times: {
       suspicionMilliseconds: policy.suspicionMilliseconds,
@@ -110,58 +113,64 @@
     instance,
     members,
     detector,
-    times: failoverTimes(policy),
+    times: createFailoverTimes(policy),
     random,
-    nextQuestionId: questions.nextId,
-    order,
-    askAll: (now) => members.list().forEach((member) => ask(member, now)),
+    nextControlRequestId: controlRequests.nextId,
+    sendCommand,
+    probeAll: (now) => members.list().forEach((member) => probe(member, now)),
     emit,
-    inFlight: requests.inFlight,
+    countInFlight: requests.countInFlight,
   });
-  const pace = createProbePace({
+  const probeIntervals = createProbeIntervals({
     policy,
     members,
     isSteady: () => failover.phase() === 'steady',
   });
-  const pump = createStatusPump({ members, questions, pace, random, ask });
+  const poller = createStatusPoller({
+    members,
+    requests: controlRequests,
+    probeIntervals,
+    random,
+    probe,
+  });
 
   const handlers: Handlers = {
     requestArrived: ({ request }, now) => {
-      pace.onRequest(now);
+      probeIntervals.onRequest(now);
       requests.onArrived(request, now);
     },
     requestCancelled: ({ requestId }, now) => requests.onCancelled(requestId, now),
-    statementFinished: (finish, now) => requests.onFinished(finish, now),
+    statementFinished: (finished, now) => requests.onFinished(finished, now),
     transactionFinished: ({ transactionId }) => requests.onTransactionFinished(transactionId),
     statusAnswered: ({ questionId, status }, now) => {
-      const question = questions.take(questionId);
-      if (!question) return;
-      const { askedAt } = question;
-      const member = members.onAnswered({ ...question, status, askedAt, now });
+      const controlRequest = controlRequests.take(questionId);
+      if (!controlRequest) return;
+      const { sentAt } = controlRequest;
+      const member = members.onAnswered({ ...controlRequest, status, sentAt, now });
       if (!member) return;
       requests.onAnswered(member, now);
-      failover.onAnswered({ ...question, status }, now);
+      failover.onAnswered({ ...controlRequest, status }, now);
     },
     questionFailed: ({ questionId, reason }, now) => {
-      const question = questions.take(questionId);
-      if (question) onQuestionFailed(question, reason, now);
+      const controlRequest = controlRequests.take(questionId);
+      if (controlRequest) onControlRequestFailed(controlRequest, reason, now);
     },
     groupChanged: ({ databases }, now) => {
       members.replaceDatabases(databases, now);
-      places.onDatabases(databases);
+      capacity.onDatabases(databases);
     },
     instancesChanged: ({ liveInstances }, now) => {
-      places.onInstances(liveInstances, now);
+      capacity.onInstances(liveInstances, now);
       failover.onInstances(liveInstances);
     },
     primaryPublished: ({ term }, now) => {
-      if (term > members.highestTerm()) members.list().forEach((member) => ask(member, now));
+      if (term > members.highestTerm()) members.list().forEach((member) => probe(member, now));
     },
     drainStarted: () => failover.onDrainStarted(),
     timerFired: (_event, now) => {
       timerAt = undefined;
       failover.step(now);
-      requests.breakSilent(now);
+      requests.abortSilentAttempts(now);
     },
   };
 
@@ -173,65 +182,64 @@
     return failover.holdsWrites();
   }
 
-  function onQuestionFailed(
-    question: Question,
+  function onControlRequestFailed(
+    controlRequest: ControlRequest,
     reason: 'timeout' | 'unreachable' | 'refused',
     now: number,
   ): void {
-    // A refusal is an answer too: the member is there.
-    if (reason !== 'refused') members.onFailed({ ...question, reason });
-    failover.onFailed({ ...question, reason }, now);
+    // A member that refuses a command is reachable, so this is not a failed probe.
+    if (reason !== 'refused') members.onFailed({ ...controlRequest, reason });
+    failover.onFailed({ ...controlRequest, reason }, now);
   }
 
   /**
-   * Guards against deposing a healthy primary after a pause of this instance: the silence that it
-   * would measure is its own. It shows as a timer that is handled late; every silence then starts
-   * anew, so a suspicion needs questions that were asked and failed after the pause.
+   * Detects a pause of this process by a late timer and restarts failure detection, so that a
+   * healthy primary is not deposed because its responses went unread.
    */
-  function notePause(now: number): void {
+  function detectPause(now: number): void {
     if (startedAt === undefined) {
       startedAt = now;
-      members.restartSilences(now);
+      members.resetSilences(now);
       return;
     }
     if (timerAt === undefined || now - timerAt <= pauseMilliseconds) return;
-    members.restartSilences(now);
+    members.resetSilences(now);
     failover.onPaused(now);
   }
 
-  function expireQuestions(now: number): void {
-    const askedBy = now - policy.questionTimeoutMilliseconds;
-    if ((questions.oldestAskedAt() ?? now) > askedBy) return;
-    questions.takeAskedBy(askedBy).forEach((question) => {
-      onQuestionFailed(question, 'timeout', now);
+  function expireControlRequests(now: number): void {
+    const sentBy = now - policy.questionTimeoutMilliseconds;
+    if ((controlRequests.getOldestSentAt() ?? now) > sentBy) return;
+    controlRequests.takeSentBy(sentBy).forEach((controlRequest) => {
+      onControlRequestFailed(controlRequest, 'timeout', now);
     });
   }
 
   function refreshShares(now: number): void {
     if (now - sharesRefreshedAt < SHARE_REFRESH_MILLISECONDS) return;
     sharesRefreshedAt = now;
-    places.refresh(now);
+    capacity.refresh(now);
   }
 
   function advance(now: number): void {
-    expireQuestions(now);
+    expireControlRequests(now);
     refreshShares(now);
     requests.expire(now);
     requests.dispatch(now);
-    const pumpAt = pump.step(requests.demand(now), now);
-    setTimer(Math.min(pumpAt, nextDueAt(now)), now);
+    const pollAt = poller.poll(requests.getStatusDemand(now), now);
+    setTimer(Math.min(pollAt, nextDueAt(now)), now);
   }
 
   function nextDueAt(now: number): number {
-    const oldest = questions.oldestAskedAt();
+    const oldest = controlRequests.getOldestSentAt();
     const timeoutAt = oldest === undefined ? Infinity : oldest + policy.questionTimeoutMilliseconds;
     const failoverAt = failover.nextDueAt();
     return Math.min(requests.nextDueAt(), timeoutAt, failoverAt > now ? failoverAt : Infinity);
   }
 
-  /** A timer that is due earlier stays: waking once too often costs less than an order each time. */
+  /** Keeps a timer that is due earlier: a spurious wake-up costs less than resetting it each time. */
   function setTimer(at: number, now: number): void {
-    const due = Math.max(at, now + SHORTEST_TIMER_MILLISECONDS);
+    const due = Math.max(at, now + MINIMUM_TIMER_MILLISECONDS);
     if (timerAt !== undefined && timerAt > now && timerAt <= due) return;
     timerAt = due;
     emit({ type: 'setTimer', at: due });
@@ -239,14 +247,14 @@
 
   function handle(event: EngineEvent, now: number): EngineEffect[] {
     effects = [];
-    notePause(now);
+    detectPause(now);
     const handler = handlers[event.type] as (event: EngineEvent, now: number) => void;
     handler(event, now);
     advance(now);
     return effects;
   }
 
-  function view(now: number): GroupEngineView {
+  function createView(now: number): GroupEngineView {
     const primary = members.primary();
     const list = members.list();
     return {
@@ -254,42 +262,42 @@
       term: members.highestTerm(),
       primary: primary?.name,
       phase: failover.phase(),
-      queued: requests.queued(),
-      running: list.reduce((sum, member) => sum + places.running(member), 0),
-      members: list.map((member) => viewMember(member, primary, now)),
+      queued: requests.countQueued(),
+      running: list.reduce((sum, member) => sum + capacity.running(member), 0),
+      members: list.map((member) => createMemberView(member, primary, now)),
     };
   }
 
-  function viewMember(member: Member, primary: Member | undefined, now: number): MemberView {
+  function createMemberView(member: Member, primary: Member | undefined, now: number): MemberView {
     const { name, database, status, answeredAt } = member;
     return {
       name,
       dataCentre: database.dataCentre,
-      role: roleOf(member, primary),
+      role: getRole(member, primary),
       applied: status?.applied,
       silentMilliseconds: answeredAt === undefined ? undefined : now - answeredAt,
-      connectionShare: places.allowedConnections(member),
-      running: places.running(member),
+      connectionShare: capacity.allowedConnections(member),
+      running: capacity.running(member),
       isLeaving: database.leaving,
     };
   }
 
-  return { handle, view };
+  return { handle, view: createView };
 }
 
-function roleOf(member: Member, primary: Member | undefined): MemberView['role'] {
+function getRole(member: Member, primary: Member | undefined): MemberView['role'] {
   if (!member.status) return 'unknown';
   return member === primary ? 'primary' : 'replica';
 }
 
-function failoverTimes(policy: EnginePolicy): FailoverTimes {
+function createFailoverTimes(policy: EnginePolicy): FailoverTimes {
   const { suspicionMilliseconds, questionTimeoutMilliseconds } = policy;
   return {
     checkMilliseconds: suspicionMilliseconds * CHECK_FACTOR,
     staggerMilliseconds: suspicionMilliseconds * STAGGER_FACTOR,
-    lookMilliseconds: suspicionMilliseconds * LOOK_FACTOR,
+    verificationMilliseconds: suspicionMilliseconds * VERIFICATION_FACTOR,
     questionTimeoutMilliseconds,
-    rivalMilliseconds: questionTimeoutMilliseconds * RIVAL_FACTOR,
+    competitorMilliseconds: questionTimeoutMilliseconds * COMPETITOR_FACTOR,
     backoffMilliseconds: suspicionMilliseconds * BACKOFF_FACTOR,
     followMilliseconds: suspicionMilliseconds * FOLLOW_FACTOR,
     settlingMilliseconds: SETTLING_MILLISECONDS,
--- a/packages/core/src/lib/engine/history.ts
+++ b/packages/core/src/lib/engine/history.ts
@@ -1,7 +1,7 @@
 import type { MemberStatus, Position, TermStart } from '@wisterialift/schema';
 
 /**
- * Whether the entry is part of the history: the last term that started before it is its own.
+ * Whether a log with these term starts contains the entry: its index must lie within its own term.
  *
  * @internal
  */
@@ -11,11 +11,10 @@
 }
 
 /**
- * Whether the member's reads show the acknowledged entry.
+ * Whether the member has applied the acknowledged entry.
  *
- * The order of positions is not enough. An entry of term 1 that was held when its primary was lost
- * may be acknowledged only through term 3, past a term 2 that started without it; the primary of
- * term 2, cut off and still answering, has a higher position and lacks the entry.
+ * Comparing positions alone is unsafe: an isolated primary of a later term can have a higher
+ * position without containing the entry.
  *
  * @internal
  */
--- a/packages/core/src/lib/engine/memberPlaces.ts
+++ b/packages/core/src/lib/engine/memberCapacity.ts
@@ -3,8 +3,8 @@
 import { createRunningLimit } from '../admission/runningLimit';
 import type { Member } from './memberTable';
 
-/** Places for work at the members: connections of this instance, and statements that run at once. */
-interface Places {
+/** Connections and running statements of this instance at one member, with their limits. */
+interface MemberUsage {
   running: number;
   connections: number;
   allowedConnections: number;
@@ -13,38 +13,38 @@
 }
 
 /** @internal */
-export interface MemberPlaces {
+export interface MemberCapacity {
   hasPlace: (member: Member) => boolean;
-  /** A statement begins on a connection of its own. */
   takeConnection: (member: Member) => void;
   releaseConnection: (member: Member) => void;
   startStatement: (member: Member) => void;
   finishStatement: (member: Member, milliseconds: number) => void;
-  /** Statements of this instance that run at the member. */
+  /** Number of statements of this instance running at the member. */
   running: (member: Member) => number;
   onConnectionRefused: (member: Member, now: number) => void;
   onDatabases: (databases: Database[]) => void;
   onInstances: (liveInstances: string[], now: number) => void;
-  /** Brings the shares up to date; they change with time alone. */
+  /** Recalculates the connection shares, which change over time without events. */
   refresh: (now: number) => void;
   allowedConnections: (member: Member) => number;
 }
 
-/** Part of a database's connections kept out of the shares: status questions and newcomers use it. */
+/** Share of a database's connections kept free for status requests and new instances. */
 const RESERVED_SHARE = 0.25;
 
 /**
- * Creates the count of places at each member: a transaction keeps its connection between statements,
- * while a slot of the database is taken only as long as a statement runs.
+ * Tracks connections and running statements per member.
+ *
+ * A transaction keeps its connection between statements but uses a slot only while one runs.
  *
  * @internal
  */
-export function createMemberPlaces(instance: string, databases: Database[]): MemberPlaces {
-  const places = new Map<string, Places>();
+export function createMemberCapacity(instance: string, databases: Database[]): MemberCapacity {
+  const usageByMember = new Map<string, MemberUsage>();
   let instances = [instance];
-  let slotsOf = new Map<string, number>();
+  let slotsByMember = new Map<string, number>();
 
-  function createPlaces({ connectionLimit, slots }: Database): Places {
+  function createUsage({ connectionLimit, slots }: Database): MemberUsage {
     const reserved = Math.ceil(connectionLimit * RESERVED_SHARE);
     return {
       running: 0,
@@ -55,38 +55,38 @@
     };
   }
 
-  function of(member: Member): Places {
-    const known = places.get(member.name);
+  function getUsage(member: Member): MemberUsage {
+    const known = usageByMember.get(member.name);
     if (known) return known;
-    const created = createPlaces(member.database);
-    places.set(member.name, created);
+    const created = createUsage(member.database);
+    usageByMember.set(member.name, created);
     return created;
   }
 
   function onDatabases(changed: Database[]): void {
     changed.forEach((database) => {
-      const known = places.get(database.name);
-      if (!known) places.set(database.name, createPlaces(database));
+      const known = usageByMember.get(database.name);
+      if (!known) usageByMember.set(database.name, createUsage(database));
       known?.limit.update({ slots: database.slots, instances: instances.length });
     });
-    slotsOf = new Map(changed.map(({ name, slots }) => [name, slots]));
+    slotsByMember = new Map(changed.map(({ name, slots }) => [name, slots]));
   }
 
   function onInstances(liveInstances: string[], now: number): void {
     instances = liveInstances.includes(instance) ? liveInstances : [...liveInstances, instance];
-    places.forEach(({ share, limit }, name) => {
+    usageByMember.forEach(({ share, limit }, name) => {
       share.update(liveInstances, instance, now);
-      limit.update({ slots: slotsOf.get(name) ?? 1, instances: instances.length });
+      limit.update({ slots: slotsByMember.get(name) ?? 1, instances: instances.length });
     });
     refresh(now);
   }
 
   function refresh(now: number): void {
-    for (const place of places.values()) place.allowedConnections = place.share.share(now);
+    for (const usage of usageByMember.values()) usage.allowedConnections = usage.share.share(now);
   }
 
   function hasPlace(member: Member): boolean {
-    const { running, connections, allowedConnections, limit } = of(member);
+    const { running, connections, allowedConnections, limit } = getUsage(member);
     return connections < allowedConnections && running < limit.limit();
   }
 
@@ -94,24 +94,24 @@
   return {
     hasPlace,
     takeConnection: (member) => {
-      of(member).connections += 1;
+      getUsage(member).connections += 1;
     },
     releaseConnection: (member) => {
-      of(member).connections -= 1;
+      getUsage(member).connections -= 1;
     },
     startStatement: (member) => {
-      of(member).running += 1;
+      getUsage(member).running += 1;
     },
     finishStatement: (member, milliseconds) => {
-      const place = of(member);
-      place.limit.recordCompletion(milliseconds, place.running);
-      place.running -= 1;
+      const usage = getUsage(member);
+      usage.limit.recordCompletion(milliseconds, usage.running);
+      usage.running -= 1;
     },
-    running: (member) => of(member).running,
-    onConnectionRefused: (member, now) => of(member).share.recordRefusal(now),
+    running: (member) => getUsage(member).running,
+    onConnectionRefused: (member, now) => getUsage(member).share.recordRefusal(now),
     onDatabases,
     onInstances,
     refresh,
-    allowedConnections: (member) => of(member).allowedConnections,
+    allowedConnections: (member) => getUsage(member).allowedConnections,
   };
 }
--- a/packages/core/src/lib/engine/memberTable.ts
+++ b/packages/core/src/lib/engine/memberTable.ts
@@ -1,90 +1,88 @@
 import { comparePositions } from '@wisterialift/schema';
 import type { Database, MemberStatus, Position } from '@wisterialift/schema';
 
-/** Weight of a new round trip in the smoothed one. */
+/** Weight of a new sample in the moving average of the round-trip time. */
 const ROUND_TRIP_SMOOTHING = 0.25;
 
-/** What the engine knows about one database of its group. @internal */
+/** State of one database of the group as seen by this instance. @internal */
 export interface Member {
   name: string;
   database: Database;
-  /** Answer to the newest question that the member answered. */
+  /** Response to the newest answered status request. */
   status: MemberStatus | undefined;
-  /** Identifier and time of that question; -1 before the first answer. */
+  /** Identifier of that request; -1 before the first response. */
   statusQuestionId: number;
   statusAskedAt: number;
   /**
-   * When the newest answered question was asked. The answer itself may have waited for this instance
-   * to be unfrozen, so its arrival says nothing about when the member was there.
+   * Send time of the newest answered request. The arrival time is unreliable, since a response can
+   * wait while this process is paused.
    */
   answeredAt: number | undefined;
-  /** Smoothed time from a question to its answer, in milliseconds. */
-  roundTrip: number;
-  /** Silence is counted from here: the last answer, the first question, or the end of a pause. */
+  smoothedRoundTripMilliseconds: number;
+  /** Start of the current silence: the last response, the first request or the end of a pause. */
   silentSince: number;
-  /** Questions in a row that failed since the last answer. */
+  /** Consecutive requests that failed since the last response. */
   failedQuestions: number;
-  /** Those of them that failed because nothing listens at the member's address. */
-  unreachableQuestions: number;
-  /** When the end of its log last moved. */
+  /** Consecutive requests that failed because the connection was refused. */
+  consecutiveUnreachable: number;
+  /** When its log end last changed. */
   logAdvancedAt: number;
-  /** No statement is sent before this time; set by refused connections. */
+  /** No statements are sent before this time, after a refused connection. */
   avoidUntil: number;
-  /** Its word that it is primary counts only in answers from this question on. */
-  trustedFromQuestionId: number;
-  /** Newest sample (time on the engine's clock) whose position the member has applied. */
+  /** Its claim to be primary is ignored in responses to earlier requests. */
+  primaryClaimValidFromRequestId: number;
+  /** Time of the newest staleness sample whose position the member has applied. */
   freshAsOf: number;
   nextFollowAt: number;
 }
 
-/** The members of the group by name, with the facts that need a majority. @internal */
+/** The members of the group by name, with state derived from a majority of them. @internal */
 export interface MemberTable {
   list: () => readonly Member[];
   get: (name: string) => Member | undefined;
-  /** Members that make a majority of the group. */
+  /** Number of members that form a majority. */
   majority: () => number;
   replaceDatabases: (databases: Database[], now: number) => void;
-  onAnswered: (answer: Answer) => Member | undefined;
-  onFailed: (failure: Failure) => void;
-  /** Starts every silence anew, because the instance itself was not looking. */
-  restartSilences: (now: number) => void;
-  /** The highest term that a majority has recorded; undefined before a majority answered. */
-  knownTerm: () => number | undefined;
-  /** The primary of that term or a higher one, by its own word. */
+  onAnswered: (answer: StatusAnswer) => Member | undefined;
+  onFailed: (failure: ControlRequestFailure) => void;
+  /** Restarts failure detection for every member, after a pause of this process. */
+  resetSilences: (now: number) => void;
+  /** Highest term recorded by a majority; undefined before a majority has responded. */
+  majorityTerm: () => number | undefined;
+  /** The member that reports itself as primary of that term or a higher one. */
   primary: () => Member | undefined;
   highestTerm: () => number;
-  /** The member's word that it is primary counts only in answers from this question on. */
-  distrust: (name: string, fromQuestionId: number) => void;
+  /** Ignores the member's claim to be primary in responses to requests before the given one. */
+  rejectPrimaryClaimBefore: (name: string, fromControlRequestId: number) => void;
 }
 
 /** @internal */
-export interface Answer {
+export interface StatusAnswer {
   member: string;
   status: MemberStatus;
   questionId: number;
-  askedAt: number;
+  sentAt: number;
   now: number;
 }
 
 /** @internal */
-export interface Failure {
+export interface ControlRequestFailure {
   member: string;
-  askedAt: number;
+  sentAt: number;
   reason: 'timeout' | 'unreachable';
 }
 
 /**
- * Creates the table of what is known about the members of a group.
+ * Creates the table of member state.
  *
- * Answers that were overtaken by the answer to a newer question are dropped, so that a crossed
- * answer never takes a member's log end or term back.
+ * Responses that arrive out of order are ignored, so that a member's log end and term never go back.
  *
  * @internal
  */
 export function createMemberTable(databases: Database[]): MemberTable {
   let members: Member[] = databases.map((database) => createMember(database, 0));
   let byName = indexByName(members);
-  let knownTerm: number | undefined;
+  let majorityTerm: number | undefined;
   let primary: Member | undefined;
 
   function replaceDatabases(changed: Database[], now: number): void {
@@ -98,44 +96,46 @@
     refreshPrimary();
   }
 
-  function onAnswered({ member: name, status, questionId, askedAt, now }: Answer) {
+  function onAnswered({ member: name, status, questionId, sentAt, now }: StatusAnswer) {
     const member = byName.get(name);
     if (!member) return undefined;
-    member.roundTrip += (now - askedAt - member.roundTrip) * ROUND_TRIP_SMOOTHING;
-    member.answeredAt = Math.max(member.answeredAt ?? askedAt, askedAt);
-    member.silentSince = Math.max(member.silentSince, askedAt);
+    member.smoothedRoundTripMilliseconds +=
+      (now - sentAt - member.smoothedRoundTripMilliseconds) * ROUND_TRIP_SMOOTHING;
+    member.answeredAt = Math.max(member.answeredAt ?? sentAt, sentAt);
+    member.silentSince = Math.max(member.silentSince, sentAt);
     member.failedQuestions = 0;
-    member.unreachableQuestions = 0;
+    member.consecutiveUnreachable = 0;
     if (questionId < member.statusQuestionId) return member;
     if (!member.status || comparePositions(member.status.logEnd, status.logEnd) !== 0) {
       member.logAdvancedAt = now;
     }
-    const wasTrusted = member.statusQuestionId >= member.trustedFromQuestionId;
+    const wasPrimaryClaimValid = member.statusQuestionId >= member.primaryClaimValidFromRequestId;
     const isSameTerm = member.status?.currentTerm === status.currentTerm;
     const isSameRole = member.status?.role === status.role;
     member.status = status;
     member.statusQuestionId = questionId;
-    member.statusAskedAt = askedAt;
-    if (!wasTrusted || !isSameTerm || !isSameRole) refreshPrimary();
+    member.statusAskedAt = sentAt;
+    if (!wasPrimaryClaimValid || !isSameTerm || !isSameRole) refreshPrimary();
     return member;
   }
 
   /**
-   * Only questions asked since the member was last heard count: a lost answer that was overtaken by
-   * a later one, or that was due while the instance was paused, says nothing about the member.
+   * Counts only requests sent since the start of the current silence: older ones were overtaken by
+   * a response or by a pause of this process.
    */
-  function onFailed({ member: name, askedAt, reason }: Failure): void {
+  function onFailed({ member: name, sentAt, reason }: ControlRequestFailure): void {
     const member = byName.get(name);
-    if (!member || askedAt < member.silentSince) return;
+    if (!member || sentAt < member.silentSince) return;
     member.failedQuestions += 1;
-    member.unreachableQuestions = reason === 'unreachable' ? member.unreachableQuestions + 1 : 0;
+    member.consecutiveUnreachable =
+      reason === 'unreachable' ? member.consecutiveUnreachable + 1 : 0;
   }
 
-  function restartSilences(now: number): void {
+  function resetSilences(now: number): void {
     const fresh = {
       silentSince: now,
       failedQuestions: 0,
-      unreachableQuestions: 0,
+      consecutiveUnreachable: 0,
       logAdvancedAt: now,
     };
     members.forEach((member) => Object.assign(member, fresh));
@@ -145,33 +145,33 @@
     return Math.floor(members.length / 2) + 1;
   }
 
-  function findKnownTerm(): number | undefined {
+  function findMajorityTerm(): number | undefined {
     const terms = members.flatMap(({ status }) => (status ? [status.currentTerm] : []));
     terms.sort((left, right) => right - left);
     return terms[majority() - 1];
   }
 
   function findPrimary(): Member | undefined {
-    const floor = knownTerm ?? 0;
+    const floor = majorityTerm ?? 0;
     let best: Member | undefined;
     members.forEach((member) => {
       if (member.status?.role !== 'primary' || member.status.currentTerm < floor) return;
-      if (member.statusQuestionId < member.trustedFromQuestionId) return;
+      if (member.statusQuestionId < member.primaryClaimValidFromRequestId) return;
       if (!best || member.status.currentTerm > termOf(best)) best = member;
     });
     return best;
   }
 
-  /** Worked out when an answer changes it, since every statement asks for it. */
+  /** Cached because every statement reads the primary. */
   function refreshPrimary(): void {
-    knownTerm = findKnownTerm();
+    majorityTerm = findMajorityTerm();
     primary = findPrimary();
   }
 
-  function distrust(name: string, fromQuestionId: number): void {
+  function rejectPrimaryClaimBefore(name: string, fromControlRequestId: number): void {
     const member = byName.get(name);
     if (!member) return;
-    member.trustedFromQuestionId = fromQuestionId;
+    member.primaryClaimValidFromRequestId = fromControlRequestId;
     refreshPrimary();
   }
 
@@ -186,31 +186,31 @@
     replaceDatabases,
     onAnswered,
     onFailed,
-    restartSilences,
-    knownTerm: () => knownTerm,
+    resetSilences,
+    majorityTerm: () => majorityTerm,
     primary: () => primary,
-    distrust,
+    rejectPrimaryClaimBefore,
     highestTerm,
   };
 }
 
-/** Term that the member last reported; 0 before its first answer. @internal */
+/** Term that the member last reported; 0 before its first response. @internal */
 export function termOf(member: Member): number {
   return member.status?.currentTerm ?? 0;
 }
 
-/** Whether the member answered within `withinMilliseconds`. @internal */
+/** Whether a request sent within the last `withinMilliseconds` was answered. @internal */
 export function hasAnswered(member: Member, withinMilliseconds: number, now: number): boolean {
   return member.answeredAt !== undefined && now - member.answeredAt <= withinMilliseconds;
 }
 
 /**
- * The lowest position that contains every acknowledged write, from answers of at least a majority.
+ * Returns the lowest log end that is known to cover every acknowledged write.
  *
- * An acknowledged write is held by a majority, so the highest log end of any majority contains it.
- * Of all majorities among the answers the one with the lowest log ends gives the lowest bound.
+ * Each acknowledged write is stored by a majority, so the highest log end of any majority covers it;
+ * the majority with the lowest log ends gives the tightest bound.
  *
- * @returns undefined while fewer than `majority` answers are there.
+ * @returns undefined if fewer than `majority` log ends are given.
  * @internal
  */
 export function lowestMajorityEnd(logEnds: Position[], majority: number): Position | undefined {
@@ -230,13 +230,13 @@
     statusQuestionId: -1,
     statusAskedAt: Number.NEGATIVE_INFINITY,
     answeredAt: undefined,
-    roundTrip: 0,
+    smoothedRoundTripMilliseconds: 0,
     silentSince: now,
     failedQuestions: 0,
-    unreachableQuestions: 0,
+    consecutiveUnreachable: 0,
     logAdvancedAt: now,
     avoidUntil: 0,
-    trustedFromQuestionId: 0,
+    primaryClaimValidFromRequestId: 0,
     freshAsOf: Number.NEGATIVE_INFINITY,
     nextFollowAt: 0,
   };
--- a/packages/core/src/lib/engine/messages.ts
+++ b/packages/core/src/lib/engine/messages.ts
@@ -1,47 +1,47 @@
 import type { Database, MemberStatus, Outcome, Position } from '@wisterialift/schema';
 
 /**
- * What a request needs from a database.
+ * Kind of database access that a request needs.
  *
  * - `read`: any member that is fresh enough.
- * - `write`: the primary, outside a transaction of the caller's own.
- * - `transaction`: BEGIN; keeps its upstream connection and its place until `transactionFinished`.
- * - `commit`: COMMIT of a transaction that the engine admitted before.
+ * - `write`: the primary, outside a transaction opened by the caller.
+ * - `transaction`: BEGIN; keeps its upstream connection until `transactionFinished`.
+ * - `commit`: COMMIT of a transaction that the engine has started.
  *
  * @public
  */
 export type Access = 'read' | 'write' | 'transaction' | 'commit';
 
-/** A request as the engine sees it; the statement's text stays with the task that owns it. @public */
+/** A request without its statement text, which stays with the caller of the engine. @public */
 export interface EngineRequest {
   requestId: string;
   caller: string;
-  /** Share of a full queue relative to other callers. */
+  /** Relative share of the queue when it is full. */
   weight: number;
   kind: string;
   access: Access;
-  /** Position that the caller's session must see; absent where the session carries none. */
+  /** Position that the caller's session must observe, if any. */
   token?: Position;
-  /** Milliseconds of accepted age; 0 asks for read-your-writes. */
+  /** Accepted staleness; 0 requires read-your-writes consistency. */
   maximumStalenessMilliseconds: number;
   /** Milliseconds on the engine's clock. */
   arrivedAt: number;
   deadlineAt: number;
   priority: number;
   isRepeatable: boolean;
-  /** Request id of the BEGIN; given with access `commit` alone. */
+  /** Request id of the BEGIN; set only for access `commit`. */
   transactionId?: string;
 }
 
-/** How one attempt at a statement ended at its upstream connection. @public */
+/** Result of one attempt to run a statement on an upstream connection. @public */
 export type StatementResult =
-  /** The database answered; `position` is that of the log entry which the statement wrote, if any. */
+  /** The statement succeeded; `position` is that of the log entry it wrote, if any. */
   | { kind: 'completed'; position?: Position }
-  /** The database answered with an error of its own; the statement changed nothing. */
+  /** The database returned an error; the statement changed nothing. */
   | { kind: 'databaseError'; code: number }
-  /** Not sent, or refused before it ran. */
+  /** The statement was not sent, or was refused before it ran. */
   | { kind: 'refused'; reason: RefusalReason }
-  /** Sent, and the connection ended before the whole answer; `answerStarted` once a byte of it was forwarded. */
+  /** The connection closed before the response was complete; `answerStarted` if part of it was forwarded. */
   | { kind: 'lost'; answerStarted: boolean };
 
 /** @public */
@@ -53,7 +53,7 @@
 /** An input of the engine. @public */
 export type EngineEvent =
   | { type: 'requestArrived'; request: EngineRequest }
-  /** The caller has gone; nobody waits for the answer any more. */
+  /** The caller has disconnected or cancelled the request. */
   | { type: 'requestCancelled'; requestId: string }
   | { type: 'statementFinished'; requestId: string; attempt: number; result: StatementResult }
   /** The transaction's upstream connection was returned or closed. */
@@ -61,50 +61,50 @@
   | { type: 'statusAnswered'; questionId: number; status: MemberStatus }
   | { type: 'questionFailed'; questionId: number; reason: QuestionFailure }
   | { type: 'groupChanged'; databases: Database[] }
-  /** Names of the instances that the lagging list shows as live, this one included. */
+  /** Names of the live instances, including this one; the list may lag behind. */
   | { type: 'instancesChanged'; liveInstances: string[] }
-  /** Another instance published a primary; a hint that a look is due, never a decision. */
+  /** Another instance published a primary; the engine verifies it with status requests. */
   | { type: 'primaryPublished'; term: number; primary: string }
-  /** A stopping instance serves what it has and starts no promotion. */
+  /** The instance is shutting down: it completes open requests and starts no failover. */
   | { type: 'drainStarted' }
   | { type: 'timerFired' };
 
-/** An order of the engine to the tasks round it. @public */
+/** An action for the code that runs the engine. @public */
 export type EngineEffect =
   | { type: 'runStatement'; requestId: string; attempt: number; member: string }
   /**
-   * Close the upstream connection of this attempt; its late answer is never reused. With `reportsLoss`
-   * the request is still open, and the engine waits for `statementFinished` with the result `lost`.
+   * Close the upstream connection of this attempt and drop its response. With `reportsLoss` the
+   * request stays open until `statementFinished` arrives with the result `lost`.
    */
   | { type: 'abandonStatement'; requestId: string; attempt: number; reportsLoss?: true }
-  /** The final answer. For `done`, the held answer of the last attempt is released to the caller. */
+  /** Complete the request; for `done`, send the response of the last attempt to the caller. */
   | { type: 'answerRequest'; requestId: string; outcome: Outcome }
   | { type: 'askStatus'; questionId: number; member: string }
-  /** Ask a member to record `term`; it refuses unless `term` is above the term it has recorded. */
+  /** Make a member record `term`; it refuses unless `term` is above its recorded term. */
   | { type: 'fence'; questionId: number; member: string; term: number }
-  /** Ask a member that has recorded exactly `term` to become its primary. */
+  /** Promote a member; it refuses unless its recorded term is exactly `term`. */
   | { type: 'promote'; questionId: number; member: string; term: number }
-  /** Ask a member to follow the primary of `term`. */
+  /** Make a member replicate from the primary of `term`. */
   | { type: 'follow'; questionId: number; member: string; term: number; primary: string }
   | { type: 'publishPrimary'; term: number; primary: string }
-  /** Wake the engine at this time; replaces the timer set before. */
+  /** Send `timerFired` at this time; replaces the previous timer. */
   | { type: 'setTimer'; at: number }
   | { type: 'record'; record: EngineRecord };
 
 /**
- * Why the group needs another primary, or the same one at a new term.
+ * Reason for a failover.
  *
- * - `silent`: the primary does not answer, a majority of the others does.
- * - `unconfirmed`: it answers, but its writes reach no other member.
- * - `absent`: a majority answers, and none is the primary of its term.
- * - `leaving`: the primary is to receive no more work.
- * - `stranded`: a member recorded a term above the primary's and can follow it no more.
+ * - `silent`: the primary does not respond, while a majority of the other members does.
+ * - `unconfirmed`: the primary responds, but its writes are not replicated.
+ * - `absent`: a majority responds, but no member is primary of its term.
+ * - `leaving`: the primary is being taken out of service.
+ * - `stranded`: a member has recorded a higher term and can no longer follow the primary.
  *
  * @public
  */
 export type SuspicionCause = 'silent' | 'unconfirmed' | 'absent' | 'leaving' | 'stranded';
 
-/** A decision worth a line in the log or a count in the metrics. @public */
+/** A decision to be logged and counted in metrics. @public */
 export type EngineRecord =
   | { name: 'primarySuspected'; member: string; cause: SuspicionCause }
   | { name: 'suspicionCleared'; member: string }
@@ -120,18 +120,18 @@
 
 /** Limits and intervals of an engine; all times in milliseconds. @public */
 export interface EnginePolicy {
-  /** Pause between status questions to a member while nothing waits for it. */
+  /** Interval between status requests to a member while no request waits for it. */
   probeIntervalMilliseconds: number;
-  /** The same for a group that nobody uses and with which nothing is wrong. */
+  /** Probe interval for groups that are idle and healthy. */
   idleProbeIntervalMilliseconds: number;
-  /** A question without an answer for this long has failed. */
+  /** Timeout of requests to members (status, fence, promote, follow). */
   questionTimeoutMilliseconds: number;
-  /** A member that has not answered for this long counts as silent. */
+  /** A member that has not responded for this long is considered silent. */
   suspicionMilliseconds: number;
-  /** Shortest pause between confirmation rounds while a write waits. */
+  /** Minimum interval between status requests while a write awaits confirmation. */
   confirmIntervalMilliseconds: number;
   queueLength: number;
-  /** Retries in proportion to first tries. */
+  /** Maximum ratio of retries to first attempts. */
   retryShare: number;
 }
 
@@ -149,16 +149,16 @@
 /** @public */
 export interface GroupEngineOptions {
   group: string;
-  /** Name and data centre of the instance that the engine decides for. */
+  /** Name of the instance that runs the engine. */
   instance: string;
   dataCentre: string;
   databases: Database[];
   policy: EnginePolicy;
-  /** Uniform random numbers in [0, 1); a seed makes a run repeatable. */
+  /** Returns a uniformly distributed number in [0, 1). */
   random: () => number;
 }
 
-/** What an engine shows of itself to operators. @public */
+/** State of an engine as shown to operators. @public */
 export interface GroupEngineView {
   group: string;
   term: number;
@@ -175,16 +175,16 @@
   dataCentre: string;
   role: 'primary' | 'replica' | 'unknown';
   applied: Position | undefined;
-  /** Milliseconds since the member last answered; undefined before its first answer. */
+  /** Time since the last answered request was sent; undefined before the first response. */
   silentMilliseconds: number | undefined;
   connectionShare: number;
   running: number;
   isLeaving: boolean;
 }
 
-/** The decisions for one upstream group at one instance: events in, effects out. @public */
+/** Routing and failover logic of one upstream group: events in, effects out. @public */
 export interface GroupEngine {
-  /** @param now - milliseconds on a clock that never goes back. */
+  /** @param now - milliseconds on a monotonic clock. */
   handle: (event: EngineEvent, now: number) => EngineEffect[];
   view: (now: number) => GroupEngineView;
 }
--- a/packages/core/src/lib/engine/requestContext.ts
+++ b/packages/core/src/lib/engine/requestContext.ts
@@ -6,27 +6,27 @@
 import { createFloorRounds } from '../reads/floorRounds';
 import type { FloorRounds } from '../reads/floorRounds';
 import type { MemberTable } from './memberTable';
-import type { MemberPlaces } from './memberPlaces';
+import type { MemberCapacity } from './memberCapacity';
 import { createRequestTable } from './requestTable';
 import type { RequestTable, TrackedRequest } from './requestTable';
 
-/** What the modules that carry requests share: the open requests and where each of them waits. @internal */
+/** State shared by the modules that process requests. @internal */
 export interface RequestContext extends RequestContextOptions {
   requests: RequestTable;
-  /** Reads that wait for a member. */
+  /** Reads waiting for a member. */
   reads: AdmissionQueue<TrackedRequest>;
-  /** Writes and transactions that wait for the primary. */
+  /** Writes and transactions waiting for the primary. */
   changes: AdmissionQueue<TrackedRequest>;
-  /** Requests that wait for the floor of their round. */
-  looking: Set<TrackedRequest>;
+  /** Requests waiting for the floor (minimum position) of their round. */
+  awaitingFloor: Set<TrackedRequest>;
   rounds: FloorRounds;
-  held: ConfirmationTracker;
-  queueOf: (request: TrackedRequest) => AdmissionQueue<TrackedRequest>;
+  heldWrites: ConfirmationTracker;
+  getQueue: (request: TrackedRequest) => AdmissionQueue<TrackedRequest>;
   record: (record: EngineRecord) => void;
-  /** Something changed that may let waiting requests go. */
-  markRoutes: () => void;
-  /** Whether {@link markRoutes} was called since the last time this was asked. */
-  takeMark: () => boolean;
+  /** Marks that waiting requests may have become dispatchable. */
+  scheduleDispatch: () => void;
+  /** Returns whether a dispatch was scheduled since the last call. */
+  takeDispatchPending: () => boolean;
 }
 
 /** @internal */
@@ -34,11 +34,11 @@
   policy: EnginePolicy;
   dataCentre: string;
   members: MemberTable;
-  places: MemberPlaces;
-  nextQuestionId: () => number;
-  /** Whether writes wait because the present primary is about to be replaced. */
+  places: MemberCapacity;
+  nextControlRequestId: () => number;
+  /** Whether writes are held back during a failover. */
   holdsWrites: () => boolean;
-  /** A write was confirmed this long after it had completed. */
+  /** Called when a write is confirmed, with the time since its completion. */
   onConfirmed: (waitedMilliseconds: number) => void;
   emit: (effect: EngineEffect) => void;
 }
@@ -48,12 +48,12 @@
   const { policy, members, emit } = options;
   const reads = createAdmissionQueue<TrackedRequest>({ capacity: policy.queueLength });
   const changes = createAdmissionQueue<TrackedRequest>({ capacity: policy.queueLength });
-  let isMarked = false;
+  let isDispatchPending = false;
 
-  function takeMark(): boolean {
-    const wasMarked = isMarked;
-    isMarked = false;
-    return wasMarked;
+  function takeDispatchPending(): boolean {
+    const wasPending = isDispatchPending;
+    isDispatchPending = false;
+    return wasPending;
   }
 
   return {
@@ -61,19 +61,19 @@
     requests: createRequestTable(),
     reads,
     changes,
-    looking: new Set(),
+    awaitingFloor: new Set(),
     rounds: createFloorRounds(members),
-    held: createConfirmationTracker(members),
-    queueOf: ({ access }) => (access === 'read' ? reads : changes),
+    heldWrites: createConfirmationTracker(members),
+    getQueue: ({ access }) => (access === 'read' ? reads : changes),
     record: (record) => emit({ type: 'record', record }),
-    markRoutes: () => {
-      isMarked = true;
+    scheduleDispatch: () => {
+      isDispatchPending = true;
     },
-    takeMark,
+    takeDispatchPending,
   };
 }
 
-/** Whether a request with this access may leave something behind in the database. @internal */
+/** Whether a request with this access can change stored data. @internal */
 export function changesData(access: Access): boolean {
   return access === 'write' || access === 'commit';
 }
--- a/packages/core/src/lib/engine/requestFlow.ts
+++ b/packages/core/src/lib/engine/requestFlow.ts
@@ -2,109 +2,112 @@
 import type { ReadRoute } from '../reads/readRouter';
 import { createStalenessSamples } from '../reads/stalenessSamples';
 import { createRequestRouter } from '../routing/requestRouter';
-import { createAttempts } from './attempts';
-import type { StatementFinish } from './attempts';
-import { createFinalAnswers } from './finalAnswers';
+import { createStatementAttempts } from './statementAttempts';
+import type { AttemptResult } from './statementAttempts';
+import { createRequestCompletion } from './requestCompletion';
 import type { Member } from './memberTable';
 import type { Access, EngineRequest } from './messages';
-import { discarded, done } from './outcomes';
+import { createDiscardedOutcome, createDoneOutcome } from './outcomes';
 import { createRequestContext } from './requestContext';
 import type { RequestContextOptions } from './requestContext';
 import type { TrackedRequest } from './requestTable';
-import type { StatusDemand } from './statusPump';
+import type { StatusDemand } from './statusPoller';
 
 /** @internal */
 export interface RequestFlow {
   onArrived: (request: EngineRequest, now: number) => void;
   onCancelled: (requestId: string, now: number) => void;
-  onFinished: (finish: StatementFinish, now: number) => void;
+  onFinished: (finished: AttemptResult, now: number) => void;
   onTransactionFinished: (transactionId: string) => void;
-  /** A member answered: floors, ages, confirmations and routes may have changed. */
+  /** Updates floors, staleness, confirmations and routes after a status response. */
   onAnswered: (member: Member, now: number) => void;
-  /** Ends attempts at members that have gone silent. */
-  breakSilent: (now: number) => void;
-  /** Gives every request its final answer that has reached its deadline. */
+  /** Ends attempts at members that no longer respond. */
+  abortSilentAttempts: (now: number) => void;
+  /** Completes requests that have reached their deadline. */
   expire: (now: number) => void;
-  /** Sends what may be sent. */
+  /** Sends waiting requests to members with free capacity. */
   dispatch: (now: number) => void;
-  demand: (now: number) => StatusDemand;
+  getStatusDemand: (now: number) => StatusDemand;
   nextDueAt: () => number;
-  /** The write that has waited longest for its confirmation. */
+  /** Returns the write that has waited longest for confirmation. */
   oldestHeldWrite: () => HeldWrite | undefined;
-  /** Statements and transactions of this instance at the member. */
-  inFlight: (member: string) => number;
-  queued: () => number;
+  /** Number of statements and transactions of this instance at the member. */
+  countInFlight: (member: string) => number;
+  countQueued: () => number;
 }
 
-/** Pace of questions while requests wait for a member to move on or for a primary. */
-const WAITING_PACE_MILLISECONDS = 5;
+/** Minimum interval of status requests while requests wait for a replica or a primary. */
+const WAITING_INTERVAL_MILLISECONDS = 5;
 
 /**
- * Creates the way of requests through the engine: arrival, dispatch, answers of members, deadlines.
+ * Processes requests from arrival to completion: queueing, dispatch, confirmation and deadlines.
  *
- * Per statement it does a few map and heap operations and one pass over the members.
+ * The cost per statement is a few map and heap operations and one pass over the members.
  *
  * @internal
  */
 export function createRequestFlow(options: RequestContextOptions): RequestFlow {
   const context = createRequestContext(options);
-  const { policy, members, places, requests, reads, changes, looking, rounds, held } = context;
-  const { queueOf, record, markRoutes, nextQuestionId, onConfirmed } = context;
-  const answers = createFinalAnswers(context);
-  const { answer, giveUp } = answers;
+  const { policy, members, places, requests, reads, changes, awaitingFloor, rounds, heldWrites } =
+    context;
+  const { getQueue, record, scheduleDispatch, nextControlRequestId, onConfirmed } = context;
+  const completion = createRequestCompletion(context);
+  const { complete, reject } = completion;
   const router = createRequestRouter(context);
-  const attempts = createAttempts(context, answers);
+  const attempts = createStatementAttempts(context, completion);
   const samples = createStalenessSamples(members);
 
   const arrivals: Record<Access, (request: TrackedRequest, now: number) => void> = {
     read: onReadArrived,
     write: enqueue,
-    transaction: look,
+    transaction: awaitFloor,
     commit: onCommitArrived,
   };
 
   function onArrived(request: EngineRequest, now: number): void {
     const tracked = requests.add(request);
-    attempts.onFirstTry(now);
+    attempts.recordFirstAttempt(now);
     arrivals[request.access](tracked, now);
   }
 
   function onReadArrived(request: TrackedRequest, now: number): void {
-    const acceptsAge = request.maximumStalenessMilliseconds > 0;
-    const needsNoRound = acceptsAge ? router.isServable(request, now) : request.token !== undefined;
-    if (needsNoRound) enqueue(request, now);
-    else look(request, now);
+    const isStalenessAccepted = request.maximumStalenessMilliseconds > 0;
+    const canQueueDirectly = isStalenessAccepted
+      ? router.isServable(request, now)
+      : request.token !== undefined;
+    if (canQueueDirectly) enqueue(request, now);
+    else awaitFloor(request, now);
   }
 
-  /** Waits for a floor round that starts now or later. */
-  function look(request: TrackedRequest, now: number): void {
-    const waiting = looking.size + queueOf(request).length();
+  /** Adds the request to a floor round that starts now or later. */
+  function awaitFloor(request: TrackedRequest, now: number): void {
+    const waiting = awaitingFloor.size + getQueue(request).length();
     if (waiting >= policy.queueLength) {
-      giveUp(request, 'overloaded', now);
+      reject(request, 'overloaded', now);
       return;
     }
-    request.round = rounds.join(nextQuestionId());
-    request.phase = 'looking';
-    looking.add(request);
+    request.round = rounds.join(nextControlRequestId());
+    request.phase = 'awaitingFloor';
+    awaitingFloor.add(request);
   }
 
   function enqueue(request: TrackedRequest, now: number): void {
-    const queue = queueOf(request);
+    const queue = getQueue(request);
     const offer = queue.offer(request, now);
     if (!offer.accepted) {
       const isWithoutPrimary = request.access !== 'read' && !router.usablePrimary(now);
-      giveUp(request, isWithoutPrimary ? 'noPrimary' : 'overloaded', now);
+      reject(request, isWithoutPrimary ? 'noPrimary' : 'overloaded', now);
       return;
     }
     request.phase = 'queued';
-    markRoutes();
-    if (offer.evicted) giveUp(offer.evicted, 'overloaded', now);
+    scheduleDispatch();
+    if (offer.evicted) reject(offer.evicted, 'overloaded', now);
   }
 
   function onCommitArrived(request: TrackedRequest, now: number): void {
-    const transaction = attempts.transactionOf(request);
+    const transaction = attempts.getTransaction(request);
     if (!transaction) {
-      giveUp(request, 'refusedByDatabase', now);
+      reject(request, 'refusedByDatabase', now);
       return;
     }
     attempts.run(request, transaction.member, now);
@@ -112,7 +115,7 @@
   }
 
   function dispatch(now: number): void {
-    if (!context.takeMark()) return;
+    if (!context.takeDispatchPending()) return;
     dispatchReads(now);
     dispatchChanges(now);
   }
@@ -150,67 +153,70 @@
   function onCancelled(requestId: string, now: number): void {
     const request = requests.get(requestId);
     if (!request) return;
-    if (request.phase === 'running') attempts.abandon(request, now);
-    answers.forget(request);
+    if (request.phase === 'running') attempts.abandonAttempt(request, now);
+    completion.remove(request);
   }
 
   function onAnswered(member: Member, now: number): void {
     rounds.onAnswered(member);
     samples.onAnswered(member, now);
-    held.takeSettled().forEach((settled) => onSettled(settled, now));
-    admitLooked(now);
-    markRoutes();
+    heldWrites.takeSettled().forEach((settled) => onSettled(settled, now));
+    enqueueWithFloor(now);
+    scheduleDispatch();
   }
 
   function onSettled({ write, settlement }: SettledWrite, now: number): void {
     const request = requests.get(write.requestId);
     if (!request) return;
     if (settlement === 'discarded') {
-      answer(request, discarded(policy.probeIntervalMilliseconds));
+      complete(request, createDiscardedOutcome(policy.probeIntervalMilliseconds));
       return;
     }
     const waitedMilliseconds = now - write.completedAt;
     record({ name: 'writeConfirmed', waitedMilliseconds });
     if (settlement === 'confirmed') onConfirmed(waitedMilliseconds);
-    answer(request, done(write.position));
+    complete(request, createDoneOutcome(write.position));
   }
 
-  /** Rounds end in the order of their start, so the first one without a floor ends the walk. */
-  function admitLooked(now: number): void {
-    for (const request of looking) {
+  /** Rounds complete in the order in which they start, so the first incomplete one ends the loop. */
+  function enqueueWithFloor(now: number): void {
+    for (const request of awaitingFloor) {
       if (!request.round?.floor) return;
-      looking.delete(request);
+      awaitingFloor.delete(request);
       enqueue(request, now);
     }
   }
 
   function expire(now: number): void {
     [...reads.expire(now), ...changes.expire(now)].forEach((request) => {
-      giveUp(request, router.reasonOf(request, now), now);
+      reject(request, router.reasonOf(request, now), now);
     });
     let request = requests.takeDue(now);
     while (request) {
       if (now >= request.deadlineAt) onDeadline(request, now);
-      else markRoutes();
+      else scheduleDispatch();
       request = requests.takeDue(now);
     }
   }
 
   function onDeadline(request: TrackedRequest, now: number): void {
-    if (request.phase === 'running') attempts.abandon(request, now);
-    giveUp(request, router.reasonOf(request, now), now);
+    if (request.phase === 'running') attempts.abandonAttempt(request, now);
+    reject(request, router.reasonOf(request, now), now);
   }
 
-  function demand(now: number): StatusDemand {
-    const hasHeld = held.size() > 0;
+  function getStatusDemand(now: number): StatusDemand {
+    const hasHeldWrites = heldWrites.size() > 0;
     const openRound = rounds.newestOpen();
-    const isUrgent = hasHeld || openRound > 0;
+    const isUrgent = hasHeldWrites || openRound > 0;
     return {
-      fromQuestionId: Math.max(openRound, hasHeld ? attempts.newestHeldQuestionId() : 0),
-      isContinuous: hasHeld || router.waitsForMembers(now),
-      paceMilliseconds: isUrgent
+      fromControlRequestId: Math.max(
+        openRound,
+        hasHeldWrites ? attempts.newestHeldControlRequestId() : 0,
+      ),
+      isContinuous: hasHeldWrites || router.waitsForMembers(now),
+      minimumIntervalMilliseconds: isUrgent
         ? policy.confirmIntervalMilliseconds
-        : Math.max(WAITING_PACE_MILLISECONDS, policy.confirmIntervalMilliseconds),
+        : Math.max(WAITING_INTERVAL_MILLISECONDS, policy.confirmIntervalMilliseconds),
     };
   }
 
@@ -228,15 +234,15 @@
     onFinished: attempts.onFinished,
     onTransactionFinished: attempts.onTransactionFinished,
     onAnswered,
-    breakSilent: (now) => {
-      attempts.breakSilent((member) => router.isSilent(member, now), now);
+    abortSilentAttempts: (now) => {
+      attempts.abortSilentAttempts((member) => router.isSilent(member, now), now);
     },
     expire,
     dispatch,
-    demand,
+    getStatusDemand,
     nextDueAt,
-    oldestHeldWrite: held.oldest,
-    inFlight: attempts.inFlight,
-    queued: () => looking.size + reads.length() + changes.length(),
+    oldestHeldWrite: heldWrites.oldest,
+    countInFlight: attempts.countInFlight,
+    countQueued: () => awaitingFloor.size + reads.length() + changes.length(),
   };
 }
--- a/packages/core/src/lib/engine/requestTable.ts
+++ b/packages/core/src/lib/engine/requestTable.ts
@@ -5,35 +5,35 @@
 import type { EngineRequest } from './messages';
 
 /**
- * Where a request stands.
+ * State of an open request.
  *
- * - `looking`: its floor round has no floor yet.
- * - `queued`: it waits for a member with a place that may serve it.
- * - `running`: an attempt was sent.
- * - `held`: the database has answered, a majority has not confirmed yet.
+ * - `awaitingFloor`: the minimum position for the read is not known yet.
+ * - `queued`: waiting for a suitable member with free capacity.
+ * - `running`: an attempt has been sent.
+ * - `held`: the database has completed the write, but a majority has not confirmed it.
  *
  * @internal
  */
-export type RequestPhase = 'looking' | 'queued' | 'running' | 'held';
+export type RequestPhase = 'awaitingFloor' | 'queued' | 'running' | 'held';
 
-/** A request that has no final answer yet. @internal */
+/** An open request. @internal */
 export interface TrackedRequest extends EngineRequest {
   phase: RequestPhase;
-  /** Number of the last attempt; 0 before the first one. */
+  /** Number of the last attempt; 0 before the first. */
   attempt: number;
-  /** Member that the last attempt was sent to; it may have left the group since. */
+  /** Target of the last attempt; it may have been removed from the group since. */
   member: Member | undefined;
-  /** Term of the primary that it was sent to. */
+  /** Term of that member when the attempt was sent. */
   term: number;
   startedAt: number;
   round: FloorRound | undefined;
-  /** An attempt may have run; it was not refused. */
-  mayHaveRun: boolean;
-  /** An attempt was ended because its member had gone silent. */
-  wasTakenAway: boolean;
+  /** Whether an attempt was sent and not refused. */
+  hasPossiblyRun: boolean;
+  /** Whether an attempt was aborted because its member stopped responding. */
+  isAborted: boolean;
   /** Member that failed the last attempt. */
   avoid: string | undefined;
-  /** Until then a read rather waits for a replica than goes to the primary. */
+  /** Until this time, a read waits for a replica instead of using the primary. */
   patienceUntil: number | undefined;
   position: Position | undefined;
 }
@@ -44,9 +44,9 @@
   get: (requestId: string) => TrackedRequest | undefined;
   delete: (requestId: string) => void;
   values: () => IterableIterator<TrackedRequest>;
-  /** Wakes the engine for the request at a time other than its deadline. */
+  /** Adds a wake-up time besides the deadline. */
   wakeAt: (request: TrackedRequest, at: number) => void;
-  /** Takes one open request whose deadline or other wake-up time has come. */
+  /** Removes one due time and returns its request; undefined if none is due. */
   takeDue: (now: number) => TrackedRequest | undefined;
   nextDueAt: () => number;
 }
@@ -57,8 +57,9 @@
 }
 
 /**
- * Creates the table of open requests. The due times of answered ones stay in the heap until they
- * surface, so that answering costs the same however many requests are open.
+ * Creates the table of open requests.
+ *
+ * Due times of completed requests are removed lazily, so that completion takes constant time.
  *
  * @internal
  */
@@ -67,7 +68,7 @@
   const due = createHeap<DueRequest>((left, right) => left.at - right.at);
 
   function add(request: EngineRequest): TrackedRequest {
-    // Written out: spreading the request costs several times as much on every statement.
+    // Listed one by one because spreading is several times slower, and this runs for every statement.
     const tracked: TrackedRequest = {
       requestId: request.requestId,
       caller: request.caller,
@@ -87,8 +88,8 @@
       term: 0,
       startedAt: request.arrivedAt,
       round: undefined,
-      mayHaveRun: false,
-      wasTakenAway: false,
+      hasPossiblyRun: false,
+      isAborted: false,
       avoid: undefined,
       patienceUntil: undefined,
       position: undefined,
@@ -102,7 +103,7 @@
     return requests.get(request.requestId) === request;
   }
 
-  function dropAnswered(): DueRequest | undefined {
+  function peekOpen(): DueRequest | undefined {
     let entry = due.peek();
     while (entry && !isOpen(entry)) {
       due.pop();
@@ -112,7 +113,7 @@
   }
 
   function takeDue(now: number): TrackedRequest | undefined {
-    const entry = dropAnswered();
+    const entry = peekOpen();
     if (!entry || entry.at > now) return undefined;
     due.pop();
     return entry.request;
@@ -127,6 +128,6 @@
     values: () => requests.values(),
     wakeAt: (request, at) => due.push({ at, request }),
     takeDue,
-    nextDueAt: () => dropAnswered()?.at ?? Number.POSITIVE_INFINITY,
+    nextDueAt: () => peekOpen()?.at ?? Number.POSITIVE_INFINITY,
   };
 }
--- /dev/null
+++ b/packages/core/src/lib/engine/statementAttempts.ts
@@ -0,0 +1,266 @@
+import { createRetryBudget } from '../admission/retryBudget';
+import { termOf } from './memberTable';
+import type { Member } from './memberTable';
+import type { RequestCompletion } from './requestCompletion';
+import type { RefusalReason, StatementResult } from './messages';
+import { createDoneOutcome } from './outcomes';
+import { changesData } from './requestContext';
+import type { RequestContext } from './requestContext';
+import type { TrackedRequest } from './requestTable';
+
+/** Result of one attempt to run a statement. @internal */
+export interface AttemptResult {
+  requestId: string;
+  attempt: number;
+  result: StatementResult;
+}
+
+/** A caller's transaction whose BEGIN has completed. @internal */
+export interface OpenTransaction {
+  member: Member;
+  /** Term of the primary on which it began. */
+  term: number;
+}
+
+/** @internal */
+export interface StatementAttempts {
+  run: (request: TrackedRequest, member: Member, now: number) => void;
+  recordFirstAttempt: (now: number) => void;
+  onFinished: (finished: AttemptResult, now: number) => void;
+  onTransactionFinished: (transactionId: string) => void;
+  getTransaction: (request: TrackedRequest) => OpenTransaction | undefined;
+  /** Ends the running attempt; a response that arrives later is dropped. */
+  abandonAttempt: (request: TrackedRequest, now: number) => void;
+  /** Ends attempts at members for which `isSilent` returns true. */
+  abortSilentAttempts: (isSilent: (member: Member) => boolean, now: number) => void;
+  /** First control request whose response can confirm the newest held write. */
+  newestHeldControlRequestId: () => number;
+  /** Number of statements and transactions of this instance at the member. */
+  countInFlight: (member: string) => number;
+}
+
+/** A member that refused a connection receives no statements for this long. */
+const CONNECTION_REFUSED_PAUSE_MILLISECONDS = 25;
+/** Retries allowed regardless of the share of first attempts. */
+const MINIMUM_RETRIES = 10;
+
+/**
+ * Sends statements to members, handles their results and retries where that is safe.
+ *
+ * @internal
+ */
+export function createStatementAttempts(
+  context: RequestContext,
+  completion: RequestCompletion,
+): StatementAttempts {
+  const { policy, members, places, requests, heldWrites, getQueue, record, emit } = context;
+  const { scheduleDispatch, nextControlRequestId } = context;
+  const { complete, reject, completeAfterLoss } = completion;
+  const budget = createRetryBudget({ share: policy.retryShare, minimumTokens: MINIMUM_RETRIES });
+  const transactions = new Map<string, OpenTransaction>();
+  let newestHeldControlRequestId = 0;
+
+  function run(request: TrackedRequest, member: Member, now: number): void {
+    request.phase = 'running';
+    request.attempt += 1;
+    request.member = member;
+    request.term = termOf(member);
+    request.startedAt = now;
+    if (request.access !== 'commit') places.takeConnection(member);
+    places.startStatement(member);
+    const { requestId, attempt } = request;
+    emit({ type: 'runStatement', requestId, attempt, member: member.name });
+  }
+
+  const resultHandlers: {
+    [Kind in StatementResult['kind']]: (
+      request: TrackedRequest,
+      result: Extract<StatementResult, { kind: Kind }>,
+      now: number,
+    ) => void;
+  } = {
+    completed: onCompleted,
+    databaseError: onDatabaseError,
+    refused: onRefused,
+    lost: onLost,
+  };
+
+  function onFinished({ requestId, attempt, result }: AttemptResult, now: number): void {
+    const request = requests.get(requestId);
+    if (request?.phase !== 'running' || request.attempt !== attempt) return;
+    const { member } = request;
+    const isConnectionKept = request.access === 'transaction' && result.kind === 'completed';
+    if (member) releaseCapacity(request, member, isConnectionKept, now);
+    scheduleDispatch();
+    const handleResult = resultHandlers[result.kind] as (
+      request: TrackedRequest,
+      result: StatementResult,
+      now: number,
+    ) => void;
+    handleResult(request, result, now);
+  }
+
+  function releaseCapacity(
+    request: TrackedRequest,
+    member: Member,
+    isConnectionKept: boolean,
+    now: number,
+  ): void {
+    const milliseconds = now - request.startedAt;
+    places.finishStatement(member, milliseconds);
+    getQueue(request).recordCompletion(milliseconds, now);
+    if (isConnectionKept) transactions.set(request.requestId, { member, term: request.term });
+    else if (request.access !== 'commit') places.releaseConnection(member);
+  }
+
+  function onCompleted(
+    request: TrackedRequest,
+    result: Extract<StatementResult, { kind: 'completed' }>,
+    now: number,
+  ): void {
+    if (!changesData(request.access)) {
+      complete(request, createDoneOutcome(undefined));
+      return;
+    }
+    request.phase = 'held';
+    request.hasPossiblyRun = true;
+    request.position = result.position;
+    request.term = result.position?.term ?? request.term;
+    newestHeldControlRequestId = nextControlRequestId();
+    heldWrites.hold({
+      requestId: request.requestId,
+      term: request.term,
+      position: result.position,
+      firstQuestionId: newestHeldControlRequestId,
+      completedAt: now,
+    });
+  }
+
+  /** An error from the database changes no data, so no confirmation is needed. */
+  function onDatabaseError(request: TrackedRequest): void {
+    complete(request, createDoneOutcome(undefined));
+  }
+
+  const refusalHandlers: Record<RefusalReason, (member: Member, now: number) => void> = {
+    connectionLimit: (member, now) => {
+      places.onConnectionRefused(member, now);
+      pauseMember(member, now);
+    },
+    connectFailed: pauseMember,
+    notPrimary: ({ name }) => members.rejectPrimaryClaimBefore(name, nextControlRequestId()),
+    stopping: () => {},
+  };
+
+  function pauseMember(member: Member, now: number): void {
+    Object.assign(member, { avoidUntil: now + CONNECTION_REFUSED_PAUSE_MILLISECONDS });
+  }
+
+  /**
+   * A refused statement did not run, so a retry cannot run it twice. This holds also for requests
+   * that are not repeatable.
+   */
+  function onRefused(
+    request: TrackedRequest,
+    { reason }: Extract<StatementResult, { kind: 'refused' }>,
+    now: number,
+  ): void {
+    const { member } = request;
+    if (member) refusalHandlers[reason](member, now);
+    if (reason === 'stopping') reject(request, 'stopping', now);
+    else if (request.access === 'commit') reject(request, 'refusedByDatabase', now);
+    else retry(request, reason, now);
+  }
+
+  function onLost(
+    request: TrackedRequest,
+    { answerStarted }: Extract<StatementResult, { kind: 'lost' }>,
+    now: number,
+  ): void {
+    request.hasPossiblyRun = true;
+    const canRetry = !changesData(request.access) && request.isRepeatable && !answerStarted;
+    if (canRetry) retry(request, 'lost', now);
+    else completeAfterLoss(request);
+  }
+
+  function retry(request: TrackedRequest, reason: string, now: number): void {
+    request.avoid = request.member?.name;
+    if (!budget.tryRetry(now)) {
+      reject(request, 'refusedByDatabase', now);
+      return;
+    }
+    const { requestId, attempt } = request;
+    record({ name: 'requestRetried', requestId, attempt: attempt + 1, reason });
+    request.phase = 'queued';
+    getQueue(request).putBack(request);
+  }
+
+  function onTransactionFinished(transactionId: string): void {
+    const transaction = transactions.get(transactionId);
+    if (!transaction) return;
+    transactions.delete(transactionId);
+    places.releaseConnection(transaction.member);
+    scheduleDispatch();
+  }
+
+  function abandonAttempt(request: TrackedRequest, now: number): void {
+    const { requestId, attempt } = request;
+    const { member } = request;
+    if (member) releaseCapacity(request, member, false, now);
+    request.hasPossiblyRun = true;
+    scheduleDispatch();
+    emit({ type: 'abandonStatement', requestId, attempt });
+  }
+
+  /**
+   * A frozen database keeps its connections open, so callers would wait until their deadline.
+   * Reads are retried on another member; writes end as unknown once the primary is replaced.
+   */
+  function abortSilentAttempts(isSilent: (member: Member) => boolean, now: number): void {
+    members
+      .list()
+      .filter((member) => places.running(member) > 0 && isSilent(member))
+      .forEach((member) => abortAttempts(member, now));
+  }
+
+  function abortAttempts(member: Member, now: number): void {
+    for (const request of requests.values()) {
+      if (request.phase !== 'running' || request.member?.name !== member.name) continue;
+      if (!changesData(request.access)) abortRead(request);
+      else if ((members.majorityTerm() ?? 0) > request.term) onPrimaryReplaced(request, now);
+    }
+  }
+
+  /**
+   * Aborts a read at most once: a long read can make a busy database look frozen, and aborting it
+   * at each member in turn would never let it finish.
+   */
+  function abortRead(request: TrackedRequest): void {
+    if (request.isAborted) return;
+    const { requestId, attempt } = request;
+    request.isAborted = true;
+    emit({ type: 'abandonStatement', requestId, attempt, reportsLoss: true });
+  }
+
+  function onPrimaryReplaced(request: TrackedRequest, now: number): void {
+    abandonAttempt(request, now);
+    completeAfterLoss(request);
+  }
+
+  function countInFlight(name: string): number {
+    const open = [...transactions.values()].filter(({ member }) => member.name === name).length;
+    const member = members.get(name);
+    return open + (member ? places.running(member) : 0);
+  }
+
+  return {
+    run,
+    recordFirstAttempt: budget.recordFirstTry,
+    onFinished,
+    onTransactionFinished,
+    getTransaction: ({ transactionId }) => transactions.get(transactionId ?? ''),
+    abandonAttempt,
+    abortSilentAttempts,
+    newestHeldControlRequestId: () => newestHeldControlRequestId,
+    countInFlight,
+  };
+}
