--- a/packages/core/src/lib/failover/ballot.ts
+++ b/packages/core/src/lib/failover/ballot.ts
@@ -2,44 +2,44 @@
 import type { MemberStatus } from '@wisterialift/schema';
 import { lowestMajorityEnd } from '../engine/memberTable';
 
-/** The orders of one change of primary whose answers are awaited, and the grants that came. @internal */
+/** Open requests of one failover, and the members that granted its term. @internal */
 export interface Ballot {
-  /** Member by question identifier. */
+  /** Members by control request identifier. */
   open: Map<number, string>;
-  /** What each member held when it recorded the term. */
+  /** Status of each member when it recorded the term. */
   grants: Map<string, MemberStatus>;
   hasRefusal: boolean;
 }
 
 /** @internal */
-export function emptyBallot(): Ballot {
+export function createBallot(): Ballot {
   return { open: new Map(), grants: new Map(), hasRefusal: false };
 }
 
 /**
- * Chooses whom to promote among the members that granted the term.
+ * Chooses the member to promote among those that granted the term.
  *
- * A candidate's log end is at or above that of every member of some majority of the grants, so it
- * holds every acknowledged write. Among those the furthest one goes first, members that are not
- * wanted last.
+ * Only members whose log end covers that of some majority are eligible, since they hold every
+ * acknowledged write. The most advanced one wins, deprioritized members last.
  *
- * @param options.isUnwanted - whether another candidate should go before this one.
- * @returns the member's name; the ballot must hold a majority of grants.
+ * @param options.ballot - must contain the grants of a majority.
+ * @param options.isDeprioritized - whether other eligible members are preferred to this one.
+ * @returns the name of the member.
  * @internal
  */
 export function chooseCandidate(options: {
   ballot: Ballot;
   majority: number;
-  isUnwanted: (member: string) => boolean;
+  isDeprioritized: (member: string) => boolean;
 }): string {
-  const { ballot, majority, isUnwanted } = options;
+  const { ballot, majority, isDeprioritized } = options;
   const grants = [...ballot.grants].map(([member, { logEnd }]) => ({ member, logEnd }));
   const logEnds = grants.map(({ logEnd }) => logEnd);
   const bound = lowestMajorityEnd(logEnds, majority);
   const eligible = grants.filter(({ logEnd }) => bound && comparePositions(logEnd, bound) >= 0);
   eligible.sort(
     (left, right) =>
-      Number(isUnwanted(left.member)) - Number(isUnwanted(right.member)) ||
+      Number(isDeprioritized(left.member)) - Number(isDeprioritized(right.member)) ||
       comparePositions(right.logEnd, left.logEnd) ||
       left.member.localeCompare(right.member),
   );
--- a/packages/core/src/lib/failover/controlOrder.ts
+++ b/packages/core/src/lib/failover/failoverCommand.ts
@@ -1,5 +1,5 @@
-/** An order of a change of primary to one member. @internal */
-export type ControlOrder =
+/** A command to one member during a failover. @internal */
+export type FailoverCommand =
   | { type: 'fence'; member: string; term: number }
   | { type: 'promote'; member: string; term: number }
   | { type: 'follow'; member: string; term: number; primary: string };
--- a/packages/core/src/lib/failover/failoverController.ts
+++ b/packages/core/src/lib/failover/failoverController.ts
@@ -2,16 +2,16 @@
 import { termOf } from '../engine/memberTable';
 import type { Member, MemberTable } from '../engine/memberTable';
 import type { EngineEffect, EngineRecord } from '../engine/messages';
-import { chooseCandidate, emptyBallot } from './ballot';
+import { chooseCandidate, createBallot } from './ballot';
 import type { Ballot } from './ballot';
-import type { ControlOrder } from './controlOrder';
+import type { FailoverCommand } from './failoverCommand';
 import { createFailoverLifecycle } from './failoverMachine';
 import type { FailoverPhase, Suspicion } from './failoverMachine';
 import { createMemberAttachment } from './memberAttachment';
-import { REFUSALS_OF_A_DEAD_MEMBER } from './primaryDetector';
-import type { PrimaryDetector } from './primaryDetector';
-import { createTurnOrder } from './turnOrder';
-import type { TurnTimes } from './turnOrder';
+import { DEAD_MEMBER_REFUSALS } from './primaryFailureDetector';
+import type { PrimaryFailureDetector } from './primaryFailureDetector';
+import { createFailoverCoordination } from './failoverCoordination';
+import type { CoordinationTimes } from './failoverCoordination';
 
 /** @internal */
 export interface FailoverController {
@@ -22,7 +22,7 @@
   onInstances: (liveInstances: string[]) => void;
   onDrainStarted: () => void;
   phase: () => FailoverPhase;
-  /** Whether writes wait because the present primary is about to be replaced. */
+  /** Whether writes are held back because the primary is about to be replaced. */
   holdsWrites: () => boolean;
   nextDueAt: () => number;
 }
@@ -43,72 +43,67 @@
   reason: 'timeout' | 'unreachable' | 'refused';
 }
 
-/** Times of a change of primary, in milliseconds. @internal */
-export interface FailoverTimes extends TurnTimes {
-  /** Between two looks for a failed primary while the group is well. */
+/** @internal */
+export interface FailoverTimes extends CoordinationTimes {
+  /** Interval between checks for a failed primary in the phase `steady`. */
   checkMilliseconds: number;
-  /** Shortest time of the look before a fence at a silent primary. */
-  lookMilliseconds: number;
+  /** Minimum time to wait for responses before fencing. */
+  verificationMilliseconds: number;
   questionTimeoutMilliseconds: number;
-  /** Pause between two orders to follow to the same member. */
+  /** Mean interval between two follow commands to the same member. */
   followMilliseconds: number;
-  /** Time that a planned change of primary leaves to the work of other instances. */
+  /** Extra delay of a planned handover, for work in flight at other instances. */
   settlingMilliseconds: number;
-  /** How long a planned change of primary waits for this instance's own work in flight. */
+  /** How long a planned handover waits for this instance's own work in flight. */
   handoverMilliseconds: number;
 }
 
-interface Options {
+interface FailoverControllerOptions {
   group: string;
   instance: string;
   members: MemberTable;
-  detector: PrimaryDetector;
+  detector: PrimaryFailureDetector;
   times: FailoverTimes;
   random: () => number;
-  nextQuestionId: () => number;
-  /** Sends an order and returns its question identifier. */
-  order: (order: ControlOrder, now: number) => number;
-  askAll: (now: number) => void;
+  nextControlRequestId: () => number;
+  /** Sends a command and returns its control request identifier. */
+  sendCommand: (command: FailoverCommand, now: number) => number;
+  probeAll: (now: number) => void;
   emit: (effect: EngineEffect) => void;
-  /** Work of this instance in flight at the member. */
-  inFlight: (member: string) => number;
+  /** Number of statements and transactions of this instance at the member. */
+  countInFlight: (member: string) => number;
 }
 
-/** Lost answers to a promotion after which it is given up; the order itself is idempotent. */
+/** Maximum number of promote commands per promotion; the command is idempotent. */
 const PROMOTION_ATTEMPTS = 3;
-/** Terms that are fenced one after the other before the next back-off. */
+/** Maximum number of terms tried before backing off. */
 const FENCE_ATTEMPTS = 3;
 
-/** Round trips within which an answer comes, unless it was lost. */
-const ROUND_TRIPS_OF_AN_ANSWER = 3;
+/** Time allowed for a response, in round trips. */
+const ANSWER_TIMEOUT_ROUND_TRIPS = 3;
 
-/** Causes for which every answer is waited for, so that the best successor can be chosen. */
-const CAUSES_WITHOUT_HASTE = new Set(['leaving', 'stranded', 'absent']);
+/** Causes for which the failover waits for all grants, to choose the best candidate. */
+const NON_URGENT_CAUSES = new Set(['leaving', 'stranded', 'absent']);
 
 /**
- * Creates the controller that changes the primary.
- *
- * Guards against two primaries that both acknowledge, which would show as a record that one caller
- * was told is kept and another reads as absent. A member grants a term once, and only above the term
- * it has recorded; so of all promoters of a term at most one holds a majority of grants, and each
- * majority refuses the log of lower terms from then on. A lost answer to a fence is no grant: the
- * member may have granted the same term to another instance. Then a higher term is tried.
+ * Creates the controller that replaces a failed or leaving primary.
  *
- * The candidate holds every acknowledged write: its log end is at or above that of every member of
- * some granting majority, and each acknowledged write is held by a member of that majority.
+ * Prevents two primaries from both acknowledging writes: a member grants each term once, so at most
+ * one instance obtains a majority, which from then on refuses the log of lower terms. A lost response
+ * is not a grant: the member may have granted the term to another instance.
  *
  * @internal
  */
-export function createFailoverController(options: Options): FailoverController {
-  const { members, detector, times, order, emit } = options;
+export function createFailoverController(options: FailoverControllerOptions): FailoverController {
+  const { members, detector, times, sendCommand, emit } = options;
   const lifecycle = createFailoverLifecycle();
-  const turns = createTurnOrder(options);
+  const coordination = createFailoverCoordination(options);
   const attachment = createMemberAttachment({ ...options, ...times });
   let isDraining = false;
-  let ballot: Ballot = emptyBallot();
+  let ballot: Ballot = createBallot();
   let fenceAttempts = 0;
   let promotionAttempts = 0;
-  let promotionOrderedAt = 0;
+  let promotionSentAt = 0;
   let suspectedSince = 0;
   let silentSince = 0;
   let learnedTerm = 0;
@@ -119,20 +114,20 @@
     emit({ type: 'record', record: entry });
   }
 
-  function clear(now: number): void {
+  function clearSuspicion(now: number): void {
     const { suspicion } = lifecycle.context();
     if (suspicion) record({ name: 'suspicionCleared', member: suspicion.member });
     lifecycle.send({ type: 'CLEARED' });
-    ballot = emptyBallot();
+    ballot = createBallot();
     suspectedSince = now;
   }
 
-  function fail(now: number): void {
+  function failAttempt(now: number): void {
     lifecycle.send({
       type: 'FAILED',
-      dueAt: now + turns.backoffDelay(lifecycle.context().failures),
+      dueAt: now + coordination.computeBackoffDelay(lifecycle.context().failures),
     });
-    ballot = emptyBallot();
+    ballot = createBallot();
   }
 
   function onSteady(now: number): void {
@@ -142,96 +137,94 @@
     suspectedSince = now;
     silentSince = members.get(suspicion.member)?.silentSince ?? now;
     record({ name: 'primarySuspected', ...suspicion });
-    lifecycle.send({ type: 'SUSPECTED', suspicion, dueAt: now + turnDelay(suspicion) });
+    lifecycle.send({ type: 'SUSPECTED', suspicion, dueAt: now + computeFailoverDelay(suspicion) });
   }
 
-  /** A planned change leaves the other instances time to finish what they have at the primary. */
-  function turnDelay({ cause }: Suspicion): number {
+  /** A planned handover gives other instances time to finish their work at the primary. */
+  function computeFailoverDelay({ cause }: Suspicion): number {
     const settling = cause === 'leaving' ? times.settlingMilliseconds : 0;
-    return turns.staggerDelay() + settling;
+    return coordination.computeStaggerDelay() + settling;
   }
 
-  function suspicionOf(): Suspicion {
+  function getSuspicion(): Suspicion {
     return lifecycle.context().suspicion as Suspicion;
   }
 
   function onSuspecting(now: number): void {
-    const suspicion = suspicionOf();
-    if (isDraining || !detector.stillStands(suspicion, now)) {
-      clear(now);
+    const suspicion = getSuspicion();
+    if (isDraining || !detector.isStillSuspected(suspicion, now)) {
+      clearSuspicion(now);
       return;
     }
-    if (now < lifecycle.context().dueAt || mustFinishFirst(suspicion, now)) return;
-    if (turns.hasRival(now)) return;
-    const fromQuestionId = options.nextQuestionId();
+    if (now < lifecycle.context().dueAt || hasWorkToFinish(suspicion, now)) return;
+    if (coordination.hasCompetitor(now)) return;
+    const fromControlRequestId = options.nextControlRequestId();
     lifecycle.send({
-      type: 'TURN_CAME',
-      fromQuestionId,
-      dueAt: now + answerTime(members.get(suspicion.member)),
+      type: 'VERIFICATION_STARTED',
+      fromControlRequestId,
+      dueAt: now + computeAnswerTimeout(members.get(suspicion.member)),
     });
-    options.askAll(now);
+    options.probeAll(now);
   }
 
-  /** Long enough for an answer over the link to the member as it was, with room for variation. */
-  function answerTime(member: Member | undefined): number {
-    const roundTrip = member?.roundTrip ?? 0;
-    return Math.max(times.lookMilliseconds, ROUND_TRIPS_OF_AN_ANSWER * roundTrip);
+  function computeAnswerTimeout(member: Member | undefined): number {
+    const roundTrip = member?.smoothedRoundTripMilliseconds ?? 0;
+    return Math.max(times.verificationMilliseconds, ANSWER_TIMEOUT_ROUND_TRIPS * roundTrip);
   }
 
-  /** A planned change cuts nothing: it waits for what this instance has in flight, for a time. */
-  function mustFinishFirst({ cause, member }: Suspicion, now: number): boolean {
-    if (cause !== 'leaving' || options.inFlight(member) === 0) return false;
+  /** A planned handover waits a limited time for this instance's own work in flight. */
+  function hasWorkToFinish({ cause, member }: Suspicion, now: number): boolean {
+    if (cause !== 'leaving' || options.countInFlight(member) === 0) return false;
     return now - suspectedSince < times.handoverMilliseconds;
   }
 
   /**
-   * Looks again with questions asked now. Guards against what was seen before a pause or through a
-   * lossy link: a primary that answers here keeps its place.
-   * The majority is one of the members that will be fenced: with the answer of a cut primary in place
-   * of a replica's, the look would end before it hears that this replica is the next primary already,
-   * and its term would be taken away; it shows as two promotions in a row.
+   * Verifies the suspicion with new status requests, since earlier observations may be outdated.
+   *
+   * Only members to be fenced count towards the majority. Otherwise the response of an isolated
+   * primary could end the verification before a replica reports that it was promoted already.
    */
-  function onLooking(now: number): void {
-    const suspicion = suspicionOf();
-    if (isDraining || !detector.stillStands(suspicion, now)) {
-      clear(now);
+  function onVerifying(now: number): void {
+    const suspicion = getSuspicion();
+    if (isDraining || !detector.isStillSuspected(suspicion, now)) {
+      clearSuspicion(now);
       return;
     }
-    const { dueAt, fromQuestionId } = lifecycle.context();
-    const fresh = fenceTargets(suspicion).filter(
-      (member) => member.statusQuestionId >= fromQuestionId,
+    const { dueAt, fromControlRequestId } = lifecycle.context();
+    const fresh = findFenceTargets(suspicion).filter(
+      (member) => member.statusQuestionId >= fromControlRequestId,
     );
     const hasMajority = fresh.length >= members.majority();
     const hasTime = now < dueAt;
-    const needsWholeLook = suspicion.cause === 'silent' && !hasRefusedLook();
-    if (hasTime && (needsWholeLook || !hasMajority)) return;
+    const needsFullWait = suspicion.cause === 'silent' && !isSuspectUnreachable();
+    if (hasTime && (needsFullWait || !hasMajority)) return;
     fenceAttempts = 0;
-    if (hasMajority && !turns.hasRival(now)) startFence(suspicion, now);
-    else fail(now);
+    if (hasMajority && !coordination.hasCompetitor(now)) startFence(suspicion, now);
+    else failAttempt(now);
   }
 
-  /** Nothing listens at the suspect's address: there is no slow answer to wait for. */
-  function hasRefusedLook(): boolean {
-    const suspect = members.get(suspicionOf().member);
-    return suspect !== undefined && suspect.unreachableQuestions >= REFUSALS_OF_A_DEAD_MEMBER;
+  /** A refused connection means that no delayed response can arrive. */
+  function isSuspectUnreachable(): boolean {
+    const suspect = members.get(getSuspicion().member);
+    return suspect !== undefined && suspect.consecutiveUnreachable >= DEAD_MEMBER_REFUSALS;
   }
 
   function startFence(suspicion: Suspicion, now: number): void {
-    const term = turns.nextTerm();
-    const targets = fenceTargets(suspicion);
-    const dueAt = now + Math.max(...targets.map(answerTime));
-    lifecycle.send({ type: 'UPHELD', term, dueAt });
-    ballot = emptyBallot();
+    const term = coordination.nextTerm();
+    const targets = findFenceTargets(suspicion);
+    const dueAt = now + Math.max(...targets.map(computeAnswerTimeout));
+    lifecycle.send({ type: 'VERIFIED', term, dueAt });
+    ballot = createBallot();
     targets.forEach((member) => {
-      ballot.open.set(order({ type: 'fence', member: member.name, term }, now), member.name);
+      ballot.open.set(sendCommand({ type: 'fence', member: member.name, term }, now), member.name);
     });
   }
 
   /**
-   * A primary that is cut from its group is left out: with the highest log end it would have to be
-   * chosen again. Without its grant its extra entries, which nobody else holds, are discarded.
+   * Excludes an isolated primary: its log end is the highest, so its grant would make it the
+   * candidate again. Its unreplicated entries are discarded.
    */
-  function fenceTargets({ cause, member }: Suspicion): Member[] {
+  function findFenceTargets({ cause, member }: Suspicion): Member[] {
     if (cause !== 'unconfirmed') return [...members.list()];
     return members.list().filter(({ name }) => name !== member);
   }
@@ -240,37 +233,44 @@
     const { term, dueAt } = lifecycle.context();
     const majority = members.majority();
     const granted = ballot.grants.size;
-    if (granted >= majority && (!isWorthWaiting() || ballot.open.size === 0 || now >= dueAt)) {
+    if (granted >= majority && (!canWaitForAllGrants() || ballot.open.size === 0 || now >= dueAt)) {
       startPromotion(now);
       return;
     }
     const canStillWin = granted + ballot.open.size >= majority && now < dueAt;
     if (canStillWin) return;
     record({ name: 'fenceFailed', term, granted, needed: majority });
-    if (mayFenceAgain(now)) startFence(suspicionOf(), now);
-    else fail(now);
+    if (canFenceAgain(now)) startFence(getSuspicion(), now);
+    else failAttempt(now);
   }
 
   /**
-   * Answers that got lost call for the next term at once: the fence reached the primary too and was
-   * a fresh question to it, and the member that granted can follow no lower term any more. A refusal
-   * shows a rival, and then the back-off comes first.
+   * Lost responses are retried immediately with a higher term, because members that granted this one
+   * can no longer follow the old primary. A refusal indicates a competitor and requires back-off.
    */
-  function mayFenceAgain(now: number): boolean {
+  function canFenceAgain(now: number): boolean {
     fenceAttempts += 1;
     if (ballot.hasRefusal || fenceAttempts >= FENCE_ATTEMPTS) return false;
-    return !isDraining && !turns.hasRival(now) && detector.stillStands(suspicionOf(), now);
+    return (
+      !isDraining &&
+      !coordination.hasCompetitor(now) &&
+      detector.isStillSuspected(getSuspicion(), now)
+    );
   }
 
-  function isWorthWaiting(): boolean {
-    return CAUSES_WITHOUT_HASTE.has(suspicionOf().cause);
+  function canWaitForAllGrants(): boolean {
+    return NON_URGENT_CAUSES.has(getSuspicion().cause);
   }
 
   function startPromotion(now: number): void {
     const { term } = lifecycle.context();
     const granted = [...ballot.grants.keys()];
     record({ name: 'termFenced', term, members: granted });
-    const candidate = chooseCandidate({ ballot, majority: members.majority(), isUnwanted });
+    const candidate = chooseCandidate({
+      ballot,
+      majority: members.majority(),
+      isDeprioritized,
+    });
     promotionAttempts = 0;
     ballot.open.clear();
     lifecycle.send({
@@ -278,21 +278,21 @@
       candidate,
       dueAt: now + PROMOTION_ATTEMPTS * times.questionTimeoutMilliseconds,
     });
-    orderPromotion(now);
+    sendPromotion(now);
   }
 
-  function isUnwanted(name: string): boolean {
-    const { member: suspect, cause } = suspicionOf();
+  function isDeprioritized(name: string): boolean {
+    const { member: suspect, cause } = getSuspicion();
     if (members.get(name)?.database.leaving) return true;
     return cause !== 'stranded' && name === suspect;
   }
 
-  function orderPromotion(now: number): void {
+  function sendPromotion(now: number): void {
     const { candidate, term } = lifecycle.context();
     promotionAttempts += 1;
-    const questionId = order({ type: 'promote', member: candidate, term }, now);
+    const questionId = sendCommand({ type: 'promote', member: candidate, term }, now);
     ballot.open.set(questionId, candidate);
-    promotionOrderedAt = now;
+    promotionSentAt = now;
   }
 
   function onPromoting(now: number): void {
@@ -302,14 +302,14 @@
       finishPromotion(primary, now);
       return;
     }
-    if (members.highestTerm() > term || now >= dueAt) fail(now);
-    else if (isPromotionLate(primary, now)) orderPromotion(now);
+    if (members.highestTerm() > term || now >= dueAt) failAttempt(now);
+    else if (isPromotionLate(primary, now)) sendPromotion(now);
   }
 
-  /** The order to promote is idempotent, so it is repeated before its timeout: writes are waiting. */
+  /** The promote command is idempotent, so it is resent before its timeout to shorten the outage. */
   function isPromotionLate(candidate: Member | undefined, now: number): boolean {
     if (promotionAttempts >= PROMOTION_ATTEMPTS) return false;
-    return now - promotionOrderedAt >= answerTime(candidate);
+    return now - promotionSentAt >= computeAnswerTimeout(candidate);
   }
 
   function finishPromotion(primary: Member, now: number): void {
@@ -324,27 +324,27 @@
     detector.onPrimaryChanged();
     emit({ type: 'publishPrimary', term, primary: primary.name });
     lifecycle.send({ type: 'PROMOTED' });
-    ballot = emptyBallot();
+    ballot = createBallot();
   }
 
   const phaseHandlers: Record<FailoverPhase, (now: number) => void> = {
     steady: onSteady,
     suspecting: onSuspecting,
-    looking: onLooking,
+    looking: onVerifying,
     fencing: onFencing,
     promoting: onPromoting,
   };
 
-  /** While nothing is wrong, answers come by the thousand and need no look each. */
-  function isQuiet(now: number): boolean {
+  /** Limits checks in the phase `steady`, because status responses are frequent. */
+  function canSkipCheck(now: number): boolean {
     const isSettled = lifecycle.phase() === 'steady' && members.primary() === checkedPrimary;
     return isSettled && now < checkedAt + times.checkMilliseconds;
   }
 
   function step(now: number): void {
-    if (isQuiet(now)) return;
+    if (canSkipCheck(now)) return;
     checkedAt = now;
-    turns.watchRivals(now);
+    coordination.observeTerms(now);
     checkedPrimary = members.primary();
     phaseHandlers[lifecycle.phase()](now);
     learnPrimary();
@@ -378,7 +378,7 @@
   }
 
   function onPromotionFailed(reason: FailoverFailure['reason'], now: number): void {
-    if (reason === 'refused') fail(now);
+    if (reason === 'refused') failAttempt(now);
     else step(now);
   }
 
@@ -390,7 +390,7 @@
       detector.onPaused(now);
       lifecycle.send({ type: 'PAUSED' });
     },
-    onInstances: turns.onInstances,
+    onInstances: coordination.onInstances,
     onDrainStarted: () => {
       isDraining = true;
     },
@@ -398,7 +398,7 @@
     holdsWrites: () => {
       const phase = lifecycle.phase();
       if (phase === 'fencing' || phase === 'promoting') return true;
-      return phase !== 'steady' && suspicionOf().cause === 'leaving';
+      return phase !== 'steady' && getSuspicion().cause === 'leaving';
     },
     nextDueAt: () => lifecycle.context().dueAt,
   };
--- a/packages/core/src/lib/failover/failoverMachine.ts
+++ b/packages/core/src/lib/failover/failoverMachine.ts
@@ -5,21 +5,21 @@
 /** @internal */
 export interface Suspicion {
   cause: SuspicionCause;
-  /** Primary at fault; for `stranded` the member that the present term cannot reach. */
+  /** The suspected primary; for `stranded` the member that has recorded a higher term. */
   member: string;
 }
 
 /** @internal */
 export interface FailoverContext {
   suspicion: Suspicion | undefined;
-  /** When the present phase ends by itself. */
+  /** Deadline of the current phase. */
   dueAt: number;
-  /** Answers to this question and later ones are fresh for the phase. */
-  fromQuestionId: number;
-  /** Term that is being fenced. */
+  /** Only responses to this control request or later ones count in the current phase. */
+  fromControlRequestId: number;
+  /** Term being fenced. */
   term: number;
   candidate: string;
-  /** Promotions in a row that came to nothing. */
+  /** Consecutive failed failovers. */
   failures: number;
 }
 
@@ -28,8 +28,8 @@
   | { type: 'SUSPECTED'; suspicion: Suspicion; dueAt: number }
   | { type: 'CLEARED' }
   | { type: 'PAUSED' }
-  | { type: 'TURN_CAME'; fromQuestionId: number; dueAt: number }
-  | { type: 'UPHELD'; term: number; dueAt: number }
+  | { type: 'VERIFICATION_STARTED'; fromControlRequestId: number; dueAt: number }
+  | { type: 'VERIFIED'; term: number; dueAt: number }
   | { type: 'FENCED'; candidate: string; dueAt: number }
   | { type: 'PROMOTED' }
   | { type: 'FAILED'; dueAt: number };
@@ -37,20 +37,20 @@
 const INITIAL_CONTEXT: FailoverContext = {
   suspicion: undefined,
   dueAt: Number.POSITIVE_INFINITY,
-  fromQuestionId: 0,
+  fromControlRequestId: 0,
   term: 0,
   candidate: '',
   failures: 0,
 };
 
 /**
- * The lifecycle of a change of primary.
+ * State machine of a failover.
  *
- * `steady` -> `suspecting` (wait for this instance's turn) -> `looking` (ask again) -> `fencing` ->
- * `promoting` -> `steady`. A pause of the instance leads back to `steady` from the phases in which
- * nothing was fenced yet, so that what it saw before the pause deposes nobody.
+ * `steady` -> `suspecting` (stagger delay) -> `looking` (verify with new status requests) ->
+ * `fencing` -> `promoting` -> `steady`. A pause of the process before fencing leads back to `steady`,
+ * so that outdated observations do not depose a primary.
  *
- * Used as a pure function of snapshot and event; it starts no actor and no timer.
+ * Used as a pure transition function; starts no actors or timers.
  *
  * @internal
  */
@@ -84,10 +84,10 @@
       on: {
         CLEARED: 'steady',
         PAUSED: 'steady',
-        TURN_CAME: {
+        VERIFICATION_STARTED: {
           target: 'looking',
           actions: assign(({ event }) => ({
-            fromQuestionId: event.fromQuestionId,
+            fromControlRequestId: event.fromControlRequestId,
             dueAt: event.dueAt,
           })),
         },
@@ -97,7 +97,7 @@
       on: {
         CLEARED: 'steady',
         PAUSED: 'steady',
-        UPHELD: {
+        VERIFIED: {
           target: 'fencing',
           actions: assign(({ event }) => ({ term: event.term, dueAt: event.dueAt })),
         },
@@ -107,7 +107,7 @@
     fencing: {
       on: {
         CLEARED: 'steady',
-        UPHELD: {
+        VERIFIED: {
           actions: assign(({ event }) => ({ term: event.term, dueAt: event.dueAt })),
         },
         FENCED: {
@@ -130,7 +130,7 @@
 /** @internal */
 export type FailoverPhase = 'steady' | 'suspecting' | 'looking' | 'fencing' | 'promoting';
 
-/** The machine's present state, and how to move it. @internal */
+/** Current state of the failover and its transitions. @internal */
 export interface FailoverLifecycle {
   phase: () => FailoverPhase;
   context: () => FailoverContext;
--- a/packages/core/src/lib/failover/memberAttachment.ts
+++ b/packages/core/src/lib/failover/memberAttachment.ts
@@ -1,36 +1,35 @@
 import { termOf } from '../engine/memberTable';
 import type { Member, MemberTable } from '../engine/memberTable';
-import type { ControlOrder } from './controlOrder';
+import type { FailoverCommand } from './failoverCommand';
 
-/** Tells members whom to follow. @internal */
+/** Makes members follow the current primary. @internal */
 export interface MemberAttachment {
-  /** Gives the orders that are due; does nothing while no primary is known. */
+  /** Sends the follow commands that are due; does nothing while no primary is known. */
   attach: (now: number) => void;
 }
 
 /**
- * Creates the attachment of members that were away, deposed or never attached.
+ * Attaches members that do not follow the current primary.
  *
- * An old primary that comes back after a freeze still believes in its term; the order to follow
- * records the present term there, after which it refuses writes and drops what the group lacks. Each
- * instance gives the order, spread at random, since nobody is set aside for it; it is idempotent.
+ * A follow command also makes a former primary record the current term, so that it refuses writes
+ * and discards diverged entries. Every instance sends it, at random intervals; it is idempotent.
  *
  * @internal
  */
 export function createMemberAttachment(options: {
   members: MemberTable;
-  order: (order: ControlOrder, now: number) => number;
-  /** Pause between two orders to the same member, in milliseconds. */
+  sendCommand: (command: FailoverCommand, now: number) => number;
+  /** Mean interval between two commands to the same member. */
   followMilliseconds: number;
   random: () => number;
 }): MemberAttachment {
-  const { members, order, followMilliseconds, random } = options;
+  const { members, sendCommand, followMilliseconds, random } = options;
 
   function attachTo(primary: Member, member: Member, now: number): void {
     const nextFollowAt = now + followMilliseconds * (0.5 + random());
     Object.assign(member, { nextFollowAt });
     const follow = { type: 'follow', term: termOf(primary), primary: primary.name } as const;
-    order({ ...follow, member: member.name }, now);
+    sendCommand({ ...follow, member: member.name }, now);
   }
 
   function attach(now: number): void {
