--- a/packages/core/src/test/ballot.test.ts
+++ b/packages/core/src/test/ballot.test.ts
@@ -1,9 +1,9 @@
 import { describe, expect, it } from 'vitest';
-import { chooseCandidate, emptyBallot } from '../lib/failover/ballot';
+import { chooseCandidate, createBallot } from '../lib/failover/ballot';
 
-describe('choosing whom to promote', () => {
-  function choose(logEnds: Record<string, number>, unwanted: string): string {
-    const ballot = emptyBallot();
+describe('chooseCandidate', () => {
+  function choose(logEnds: Record<string, number>, deprioritized: string): string {
+    const ballot = createBallot();
     for (const [member, index] of Object.entries(logEnds)) {
       const logEnd = { term: 1, index };
       ballot.grants.set(member, {
@@ -15,17 +15,19 @@
         termStarts: [],
       });
     }
-    return chooseCandidate({ ballot, majority: 2, isUnwanted: (member) => member === unwanted });
+    return chooseCandidate({
+      ballot,
+      majority: 2,
+      isDeprioritized: (member) => member === deprioritized,
+    });
   }
 
-  it('takes an unwanted member before one that is behind an acknowledged write', () => {
-    // A technician's acknowledged entry was gone after the primary had been replaced.
-    // The furthest member was about to leave, so the other that had granted the term was taken; the
-    // entry was confirmed by the primary and the leaving member alone.
+  it('prefers a deprioritized member to one that lacks an acknowledged write', () => {
+    // Guards against losing a write that only the old primary and the deprioritized member hold.
     expect(choose({ b: 9, c: 5 }, 'b')).toBe('b');
   });
 
-  it('passes an unwanted member over where another holds as much of every majority', () => {
+  it('skips a deprioritized member if another eligible one exists', () => {
     expect(choose({ a: 9, b: 7, c: 5 }, 'a')).toBe('b');
     expect(choose({ b: 9, c: 9 }, 'b')).toBe('c');
   });
--- a/packages/core/src/test/engine.test.ts
+++ b/packages/core/src/test/engine.test.ts
@@ -2,9 +2,8 @@
 import { createScenario, databaseOf } from './engineScenario';
 
 describe('requests', () => {
-  it('answers at its deadline what was never sent, and says when to come back', () => {
-    // An officer keeps waiting after the system has given up. No member is fresh enough and the
-    // read waits in the queue. Cause: a request that nobody will serve is held back.
+  it('rejects a request at its deadline if it was never sent', () => {
+    // Guards against a read staying queued past its deadline when no member is fresh enough.
     const scenario = createScenario();
     const token = { term: 9, index: 1 };
     const read = scenario.read({ token, deadlineAt: scenario.now() + 300 });
@@ -14,7 +13,7 @@
     expect(read.sentTo).toEqual([]);
   });
 
-  it('refuses at once what does not fit into the queue', () => {
+  it('rejects requests immediately when the queue is full', () => {
     const scenario = createScenario({ policy: { queueLength: 3 } });
     scenario.member('a1').state = 'frozen';
     scenario.run(450);
@@ -29,9 +28,8 @@
     );
   });
 
-  it('gives back the place of a statement whose caller has gone', () => {
-    // After a few callers that gave up, nothing runs at the database any more.
-    // Each left a statement running at a frozen member. Cause: a place that nobody gives back.
+  it('releases the capacity of a cancelled statement', () => {
+    // Guards against a capacity leak when callers cancel statements at a frozen member.
     const scenario = createScenario();
     scenario.run(4_000);
     ['b1', 'c1', 'a1'].forEach((name) => Object.assign(scenario.member(name), { state: 'frozen' }));
@@ -42,7 +40,7 @@
     expect(scenario.instance().engine.view(scenario.now()).running).toBe(0);
   });
 
-  it('keeps the place of a transaction until it is finished', () => {
+  it('keeps the connection of a transaction until it is finished', () => {
     const scenario = createScenario({ databases: { a1: { connectionLimit: 2 } } });
     const begin = scenario.send({ access: 'transaction' });
     scenario.runUntil(() => begin.outcome !== undefined);
@@ -54,10 +52,8 @@
     expect(write.outcome?.status).toBe('done');
   });
 
-  it('gives back the places at a database that was removed meanwhile', () => {
-    // All writes through one proxy wait until their deadline, for good. A database was taken out of
-    // the configuration while statements ran at it, and put back after they had ended.
-    // Cause: an end that nobody counts, since the member is not in the table at that moment.
+  it('releases capacity at a database that was removed while statements ran', () => {
+    // Guards against a capacity leak when statements finish while their database is not configured.
     const scenario = createScenario();
     const writes = [scenario.write(), scenario.write()];
     scenario.runUntil(() => writes[0]?.sentTo.length === 1);
@@ -71,7 +67,7 @@
     expect(after.outcome?.status).toBe('done');
   });
 
-  it('starts no change of primary while it drains', () => {
+  it('starts no failover while draining', () => {
     const scenario = createScenario();
     scenario.handle({ type: 'drainStarted' });
     scenario.member('a1').state = 'down';
@@ -79,7 +75,7 @@
     expect(scenario.recordsOf('termFenced')).toEqual([]);
   });
 
-  it('sends nothing to a leaving replica', () => {
+  it('sends no reads to a leaving replica', () => {
     const scenario = createScenario();
     scenario.changeDatabase('b1', { leaving: true });
     const reads = Array.from({ length: 10 }, () => scenario.read());
@@ -87,13 +83,13 @@
     expect(reads.flatMap(({ sentTo }) => sentTo)).not.toContain('b1');
   });
 
-  it('shows itself to operators', () => {
+  it('returns a view of its state', () => {
     const scenario = createScenario();
     scenario.run(4_000);
     const view = scenario.instance().engine.view(scenario.now());
     const members = view.members.map(({ silentMilliseconds, ...member }) => ({
       ...member,
-      // Nobody uses the group, so its members are probed once a second, a quarter more or less.
+      // Idle members are probed every 1 s, plus or minus 25 %.
       isSilent: silentMilliseconds === undefined || silentMilliseconds > 1_300,
     }));
     expect({ ...view, members }).toMatchSnapshot();
--- a/packages/core/src/test/engineScenario.ts
+++ b/packages/core/src/test/engineScenario.ts
@@ -17,33 +17,33 @@
   appendedAt: number;
 }
 
-/** A fake database of the group: the log, the term and the faults that a test sets. */
+/** A simulated database with a log, a term and injected faults. */
 export interface FakeMember {
   name: string;
   role: 'primary' | 'replica';
   currentTerm: number;
   log: Entry[];
   following: string | undefined;
-  hasFollowedTerm: number;
+  lastFollowedTerm: number;
   state: 'up' | 'frozen' | 'down';
-  /** No replication in or out; instances still reach it. */
+  /** Disables replication from and to the member; instances can still connect. */
   isCutFromGroup: boolean;
   lagMilliseconds: number;
-  /** Statements that run and whose connection then breaks. */
+  /** Number of statements whose connection breaks after they have run. */
   loseAnswers: number;
-  /** What reached it while it was frozen; it goes on with it after the thaw. */
-  backlog: (() => void)[];
-  /** Writes that reached it, also those that it refused. */
+  /** Requests received while frozen, processed when the member resumes. */
+  pendingDeliveries: (() => void)[];
+  /** Writes received, including refused ones. */
   received: string[];
 }
 
-/** A request of a test, with all that happened to it. */
-export interface Handle {
+/** Tracks a request sent by a test. */
+export interface RequestHandle {
   requestId: string;
   outcome: Outcome | undefined;
-  /** Members that an attempt was sent to. */
+  /** Members to which attempts were sent. */
   sentTo: string[];
-  /** Requests whose entries the last attempt saw. */
+  /** Requests whose log entries were visible to the last attempt. */
   seen: string[];
 }
 
@@ -52,13 +52,13 @@
   engine: GroupEngine;
   timerAt: number;
   isPaused: boolean;
-  inbox: EngineEvent[];
+  pendingEvents: EngineEvent[];
   records: EngineRecord[];
-  /** Members that its questions and statements do not reach. */
+  /** Members that do not receive its control requests. */
   unreachable: Set<string>;
-  /** Members that its orders to record a term do not reach. */
+  /** Members that do not receive its fence commands. */
   lostFences: Set<string>;
-  /** Members that its orders to follow do not reach. */
+  /** Members that do not receive its follow commands. */
   lostFollows: Set<string>;
 }
 
@@ -70,9 +70,9 @@
 export interface ScenarioOptions {
   instances?: string[];
   seed?: number;
-  /** Share of questions and of answers that get lost. */
-  lossShare?: number;
-  /** A member whose link is slower than the others'. */
+  /** Probability of losing a control request or a response. */
+  lossRate?: number;
+  /** Member with a slow link. */
   slowMember?: string;
   policy?: Partial<EnginePolicy>;
   databases?: Partial<Record<string, Partial<Database>>>;
@@ -82,25 +82,25 @@
 
 const FIRST_ENTRY: Entry = { term: 1, requestId: '', appendedAt: 0 };
 const MEMBER_NAMES = ['a1', 'b1', 'c1'];
-/** Writes whose identifier begins so match no row and write no entry. */
+/** Request id prefix of writes that change no rows and write no log entry. */
 export const NO_ENTRY = 'no-entry';
 const LINK_MILLISECONDS = 2;
 const SLOW_LINK_MILLISECONDS = 120;
 const REPLICATION_MILLISECONDS = 2;
 
 /**
- * Drives engines against three fake databases, millisecond by millisecond, from a seed.
+ * Runs engines against three simulated databases in deterministic 1 ms steps.
  *
- * `a1` is the primary of term 1 at the start; each member is in a data centre of its own.
+ * `a1` is the primary of term 1; each member is in its own data centre.
  */
 export function createScenario(options: ScenarioOptions = {}) {
   const random = createRandom(options.seed ?? 1);
   const members = new Map(MEMBER_NAMES.map((name) => [name, createMember(name)]));
   const deliveries: Delivery[] = [];
-  const handles = new Map<string, Handle & { access: EngineRequest['access'] }>();
+  const requestHandles = new Map<string, RequestHandle & { access: EngineRequest['access'] }>();
   let now = 0;
   let requestCount = 0;
-  let questionCount = 0;
+  let statusRequestCount = 0;
   let databases: Database[] = MEMBER_NAMES.map((name) => ({
     ...databaseOf(name),
     ...options.databases?.[name],
@@ -121,7 +121,7 @@
     const unreachable = new Set<string>();
     const lostFences = new Set<string>();
     const lostFollows = new Set<string>();
-    const state = { timerAt: Infinity, isPaused: false, inbox: [], records: [] };
+    const state = { timerAt: Infinity, isPaused: false, pendingEvents: [], records: [] };
     return { name, engine, unreachable, lostFences, lostFollows, ...state };
   }
 
@@ -133,23 +133,23 @@
     return instances.get(name) as FakeInstance;
   }
 
-  function later(milliseconds: number, deliver: () => void): void {
+  function schedule(milliseconds: number, deliver: () => void): void {
     deliveries.push({ at: now + milliseconds, deliver });
   }
 
-  function reach(name: string, arrive: (reached: FakeMember) => void): void {
+  function deliverTo(name: string, receive: (recipient: FakeMember) => void): void {
     const delay = linkDelay() + (name === options.slowMember ? SLOW_LINK_MILLISECONDS : 0);
-    later(delay, () => {
-      const reached = member(name);
-      if (reached.state === 'frozen') reached.backlog.push(() => arrive(reached));
-      else arrive(reached);
+    schedule(delay, () => {
+      const recipient = member(name);
+      if (recipient.state === 'frozen') recipient.pendingDeliveries.push(() => receive(recipient));
+      else receive(recipient);
     });
   }
 
   function thaw(name: string): void {
-    const thawed = member(name);
-    thawed.state = 'up';
-    thawed.backlog.splice(0).forEach((arrive) => arrive());
+    const resumed = member(name);
+    resumed.state = 'up';
+    resumed.pendingDeliveries.splice(0).forEach((deliver) => deliver());
   }
 
   function linkDelay(): number {
@@ -157,56 +157,61 @@
   }
 
   function isLost(): boolean {
-    return random() < (options.lossShare ?? 0);
+    return random() < (options.lossRate ?? 0);
   }
 
   function handle(target: FakeInstance, event: EngineEvent): void {
     if (target.isPaused) {
-      target.inbox.push(event);
+      target.pendingEvents.push(event);
       return;
     }
-    target.engine.handle(event, now).forEach((effect) => carryOut(target, effect));
+    target.engine.handle(event, now).forEach((effect) => applyEffect(target, effect));
   }
 
-  type Carriers = {
+  type EffectHandlers = {
     [Type in EngineEffect['type']]: (
       target: FakeInstance,
       effect: Extract<EngineEffect, { type: Type }>,
     ) => void;
   };
 
-  const carriers: Carriers = {
+  const effectHandlers: EffectHandlers = {
     runStatement: (target, effect) => runStatement(target, effect),
     abandonStatement: (target, { requestId, attempt, reportsLoss }) => {
       const result: StatementResult = { kind: 'lost', answerStarted: false };
-      if (reportsLoss) later(0, () => finish(target, requestId, attempt, result));
+      if (reportsLoss) schedule(0, () => finish(target, requestId, attempt, result));
     },
     answerRequest: (_target, { requestId, outcome }) => {
-      Object.assign(handles.get(requestId) as Handle, { outcome });
+      Object.assign(requestHandles.get(requestId) as RequestHandle, { outcome });
     },
     askStatus: (target, effect) => {
-      questionCount += 1;
-      askMember(target, effect, () => true);
+      statusRequestCount += 1;
+      sendControlRequest(target, effect, () => true);
     },
     fence: (target, effect) => {
       if (target.lostFences.has(effect.member)) return;
-      askMember(target, effect, (asked) => {
-        if (effect.term <= asked.currentTerm) return false;
-        Object.assign(asked, { currentTerm: effect.term, role: 'replica', following: undefined });
+      sendControlRequest(target, effect, (database) => {
+        if (effect.term <= database.currentTerm) return false;
+        Object.assign(database, {
+          currentTerm: effect.term,
+          role: 'replica',
+          following: undefined,
+        });
         return true;
       });
     },
-    promote: (target, effect) => askMember(target, effect, (asked) => promote(asked, effect.term)),
+    promote: (target, effect) =>
+      sendControlRequest(target, effect, (database) => promote(database, effect.term)),
     follow: (target, effect) => {
       if (target.lostFollows.has(effect.member)) return;
-      askMember(target, effect, (asked) => {
-        const isOwnTerm = asked.role === 'primary' && asked.currentTerm === effect.term;
-        if (effect.term < asked.currentTerm || isOwnTerm) return false;
-        Object.assign(asked, {
+      sendControlRequest(target, effect, (database) => {
+        const isOwnTerm = database.role === 'primary' && database.currentTerm === effect.term;
+        if (effect.term < database.currentTerm || isOwnTerm) return false;
+        Object.assign(database, {
           currentTerm: effect.term,
           role: 'replica',
           following: effect.primary,
-          hasFollowedTerm: effect.term,
+          lastFollowedTerm: effect.term,
         });
         return true;
       });
@@ -220,38 +225,41 @@
     },
   };
 
-  function carryOut(target: FakeInstance, effect: EngineEffect): void {
-    const carrier = carriers[effect.type] as (target: FakeInstance, effect: EngineEffect) => void;
-    carrier(target, effect);
+  function applyEffect(target: FakeInstance, effect: EngineEffect): void {
+    const handleEffect = effectHandlers[effect.type] as (
+      target: FakeInstance,
+      effect: EngineEffect,
+    ) => void;
+    handleEffect(target, effect);
   }
 
-  function promote(asked: FakeMember, term: number): boolean {
-    if (asked.currentTerm !== term) return false;
-    if (asked.role === 'primary') return true;
-    if (asked.hasFollowedTerm === term) return false;
-    asked.log.push({ term, requestId: '', appendedAt: now });
-    Object.assign(asked, { role: 'primary', following: undefined });
+  function promote(database: FakeMember, term: number): boolean {
+    if (database.currentTerm !== term) return false;
+    if (database.role === 'primary') return true;
+    if (database.lastFollowedTerm === term) return false;
+    database.log.push({ term, requestId: '', appendedAt: now });
+    Object.assign(database, { role: 'primary', following: undefined });
     return true;
   }
 
-  function askMember(
+  function sendControlRequest(
     target: FakeInstance,
     { questionId, member: name }: { questionId: number; member: string },
-    carry: (asked: FakeMember) => boolean,
+    apply: (database: FakeMember) => boolean,
   ): void {
     if (isLost() || target.unreachable.has(name)) return;
-    reach(name, (asked) => {
-      if (asked.state === 'down') {
-        later(linkDelay(), () =>
+    deliverTo(name, (database) => {
+      if (database.state === 'down') {
+        schedule(linkDelay(), () =>
           handle(target, { type: 'questionFailed', questionId, reason: 'unreachable' }),
         );
         return;
       }
-      const isCarried = carry(asked);
-      const status = statusOf(asked);
+      const isAccepted = apply(database);
+      const status = statusOf(database);
       if (isLost()) return;
-      later(linkDelay(), () => {
-        if (isCarried) handle(target, { type: 'statusAnswered', questionId, status });
+      schedule(linkDelay(), () => {
+        if (isAccepted) handle(target, { type: 'statusAnswered', questionId, status });
         else handle(target, { type: 'questionFailed', questionId, reason: 'refused' });
       });
     });
@@ -262,10 +270,10 @@
     effect: Extract<EngineEffect, { type: 'runStatement' }>,
   ): void {
     const { requestId, attempt, member: name } = effect;
-    handles.get(requestId)?.sentTo.push(name);
-    reach(name, (database) => {
+    requestHandles.get(requestId)?.sentTo.push(name);
+    deliverTo(name, (database) => {
       const result = execute(database, requestId);
-      later(linkDelay(), () => finish(target, requestId, attempt, result));
+      schedule(linkDelay(), () => finish(target, requestId, attempt, result));
     });
   }
 
@@ -279,7 +287,9 @@
   }
 
   function execute(database: FakeMember, requestId: string): StatementResult {
-    const request = handles.get(requestId) as Handle & { access: EngineRequest['access'] };
+    const request = requestHandles.get(requestId) as RequestHandle & {
+      access: EngineRequest['access'];
+    };
     if (database.state === 'down') return { kind: 'refused', reason: 'connectFailed' };
     request.seen = database.log.map((entry) => entry.requestId);
     const isWrite = request.access === 'write' || request.access === 'commit';
@@ -339,11 +349,11 @@
     for (let elapsed = 0; elapsed < milliseconds; elapsed += 1) tick();
   }
 
-  /** Runs until the condition holds; fails the test after a generous limit. */
+  /** Runs until the condition holds and returns the elapsed milliseconds. */
   function runUntil(condition: () => boolean, limitMilliseconds = 20_000): number {
     const startedAt = now;
     while (!condition()) {
-      if (now - startedAt > limitMilliseconds) throw new Error('the condition never held');
+      if (now - startedAt > limitMilliseconds) throw new Error('condition not met in time');
       tick();
     }
     return now - startedAt;
@@ -365,26 +375,26 @@
       ...draft,
     };
     const created = { requestId, outcome: undefined, sentTo: [], seen: [], access: draft.access };
-    handles.set(requestId, created);
+    requestHandles.set(requestId, created);
     handle(instance(at), { type: 'requestArrived', request });
-    return created as Handle;
+    return created as RequestHandle;
   }
 
   function pause(name = 'p1'): void {
     instance(name).isPaused = true;
   }
 
-  /** Goes on after a pause; answers to questions that it asked before are gone. */
+  /** Resumes a paused instance; status responses that arrived meanwhile are lost. */
   function resume(name = 'p1'): void {
     const target = instance(name);
     target.isPaused = false;
-    target.inbox
+    target.pendingEvents
       .splice(0)
       .filter(({ type }) => type !== 'statusAnswered')
       .forEach((event) => handle(target, event));
   }
 
-  /** What another instance did that is not part of the scenario; the old primary hears nothing. */
+  /** Simulates a promotion by an instance outside the scenario, unnoticed by the old primary. */
   function promoteElsewhere(name: string, term: number, group = ['b1', 'c1']): void {
     group.forEach((each) => {
       Object.assign(member(each), { currentTerm: term, following: name, role: 'replica' });
@@ -432,8 +442,8 @@
       send({ access: 'read', ...draft }, at),
     send,
     primaries: () => [...members.values()].filter(({ role }) => role === 'primary'),
-    /** Status questions of all instances so far. */
-    questionCount: () => questionCount,
+    /** Number of status requests sent by all instances. */
+    statusRequestCount: () => statusRequestCount,
     now: () => now,
   };
 }
@@ -445,24 +455,23 @@
     currentTerm: 1,
     log: [FIRST_ENTRY],
     following: name === 'a1' ? undefined : 'a1',
-    hasFollowedTerm: name === 'a1' ? 0 : 1,
+    lastFollowedTerm: name === 'a1' ? 0 : 1,
     state: 'up',
     isCutFromGroup: false,
     lagMilliseconds: REPLICATION_MILLISECONDS,
     loseAnswers: 0,
-    backlog: [],
+    pendingDeliveries: [],
     received: [],
   };
 }
 
-/** A database as the configuration of the scenario names it. */
 export function databaseOf(name: string): Database {
   const address = { host: '127.0.0.1', port: 3306, dataCentre: `dc-${name}` };
   return { name, ...address, connectionLimit: 30, slots: 5, leaving: false };
 }
 
-function statusOf(asked: FakeMember): MemberStatus {
-  const { name, role, currentTerm, log, following } = asked;
+function statusOf(database: FakeMember): MemberStatus {
+  const { name, role, currentTerm, log, following } = database;
   const end = endOf(log);
   const termStarts = log.reduce<TermStart[]>(
     (starts, { term }, index) =>
@@ -477,16 +486,16 @@
   return { term: log.at(-1)?.term ?? 0, index: log.length };
 }
 
-/** Mulberry32, so that a seed gives the same run on every machine. */
+/** Mulberry32 generator, for reproducible runs. */
 function createRandom(seed: number): () => number {
   let state = seed;
   return () => {
     state = Math.trunc(state + 0x6d2b79f5);
-    // eslint-disable-next-line no-bitwise -- a generator is made of bits
+    // eslint-disable-next-line no-bitwise -- required by the generator
     let mixed = Math.imul(state ^ (state >>> 15), state | 1);
-    // eslint-disable-next-line no-bitwise -- a generator is made of bits
+    // eslint-disable-next-line no-bitwise -- required by the generator
     mixed ^= mixed + Math.imul(mixed ^ (mixed >>> 7), mixed | 61);
-    // eslint-disable-next-line no-bitwise -- a generator is made of bits
+    // eslint-disable-next-line no-bitwise -- required by the generator
     return ((mixed ^ (mixed >>> 14)) >>> 0) / 4_294_967_296;
   };
 }
--- a/packages/core/src/test/failover.test.ts
+++ b/packages/core/src/test/failover.test.ts
@@ -1,8 +1,8 @@
 import { describe, expect, it } from 'vitest';
 import { createScenario } from './engineScenario';
 
-describe('change of primary', () => {
-  it('promotes the furthest replica once the primary is dead', () => {
+describe('failover', () => {
+  it('promotes the most advanced replica when the primary is down', () => {
     const scenario = createScenario();
     scenario.member('b1').isCutFromGroup = true;
     const before = scenario.write();
@@ -22,7 +22,7 @@
     ]);
   });
 
-  it('brings an old primary back as a replica after its thaw', () => {
+  it('attaches a former primary as a replica after it resumes', () => {
     const scenario = createScenario();
     scenario.member('a1').state = 'frozen';
     scenario.runUntil(() => scenario.primaries().length === 2);
@@ -31,9 +31,8 @@
     scenario.runUntil(() => scenario.member('a1').log.at(-1)?.term === 2);
   });
 
-  it('replaces a primary that is cut from its group while it still answers', () => {
-    // Every approval hangs until its deadline although all databases look alive. The primary lost its
-    // replicas, callers and proxies still reach it. Cause: it runs writes that nobody else holds.
+  it('replaces a primary that responds but cannot replicate', () => {
+    // Guards against writes hanging until their deadline at an isolated primary.
     const scenario = createScenario();
     scenario.member('a1').isCutFromGroup = true;
     const held = scenario.write();
@@ -46,10 +45,9 @@
     expect(held.outcome?.status).toBe('discarded');
   });
 
-  it('leaves a promotion alone that a look at a cut primary has not heard of yet', () => {
-    // Writes pause twice after a cut: an instance deposes the primary that another has just promoted.
-    // The old primary and the first replica to answer made a majority, so its look ended before the
-    // new primary was heard, and the fence took that primary's term away.
+  it('does not depose a newly promoted primary that has not been discovered yet', () => {
+    // Guards against counting the isolated primary towards the majority that ends the verification,
+    // which fenced a primary that another instance had just promoted.
     const scenario = createScenario();
     scenario.member('a1').isCutFromGroup = true;
     scenario.member('c1').lagMilliseconds = 2_000;
@@ -77,10 +75,8 @@
     expect(scenario.member('a1').currentTerm).toBe(1);
   });
 
-  it('settles down where every replica lags longer than the time for unconfirmed writes', () => {
-    // Approvals are discarded one after the other on a day with a slow network between the databases.
-    // Replication takes three seconds, writes are rare. Cause: replicas that stand still because
-    // nothing has reached them yet look cut off, under the next primary too.
+  it('stops repeating failovers when every replica lags beyond the confirmation timeout', () => {
+    // Guards against mistaking slow replication for an isolated primary, again after each failover.
     const scenario = createScenario();
     ['a1', 'b1', 'c1'].forEach((name) => {
       scenario.member(name).lagMilliseconds = 3_000;
@@ -94,10 +90,8 @@
     expect(scenario.recordsOf('primaryPromoted').length).toBeLessThanOrEqual(2);
   });
 
-  it('keeps a primary that only this instance does not reach', () => {
-    // Approvals of all offices stop because one proxy has a bad line to the primary.
-    // The others write on. Cause: silence at one instance says nothing about the primary where the
-    // replicas still receive its log.
+  it('keeps a primary that only this instance cannot reach', () => {
+    // Guards against one broken link causing a failover while replicas still receive the log.
     const scenario = createScenario({ instances: ['p1', 'p2'] });
     scenario.instance('p1').unreachable.add('a1');
     for (let count = 0; count < 100; count += 1) {
@@ -107,10 +101,8 @@
     expect(scenario.recordsOf('termFenced')).toEqual([]);
   });
 
-  it('deposes nobody after a pause of the instance itself', () => {
-    // Approvals stop for a second although every database is well. The proxy was frozen for longer
-    // than any limit; when it goes on, all its answers are old and its questions have timed out.
-    // Cause: the silence that it measures is its own.
+  it('keeps the primary after a pause of the instance', () => {
+    // Guards against treating requests that timed out during the pause as a failure of the primary.
     const scenario = createScenario({ slowMember: 'a1' });
     for (let round = 0; round < 20; round += 1) {
       scenario.run(115);
@@ -124,22 +116,20 @@
     expect(scenario.member('a1').currentTerm).toBe(1);
   });
 
-  it('deposes nobody over a lossy link', () => {
-    // Approvals stop again and again on days with a bad line. One question in twenty is lost, and as
-    // many answers. Cause: one lost answer looks like one from a dead primary.
-    const scenario = createScenario({ lossShare: 0.05 });
+  it('keeps the primary over a lossy link', () => {
+    // Guards against treating single lost requests or responses as a failure of the primary.
+    const scenario = createScenario({ lossRate: 0.05 });
     scenario.run(120_000);
     expect(scenario.recordsOf('termFenced')).toEqual([]);
     expect(scenario.member('a1').currentTerm).toBe(1);
   }, 60_000);
 
   it.each([1, 2, 3, 4, 5, 6, 7, 8])(
-    'has one primary a term when two promote at once, seed %i',
+    'has at most one primary per term when instances promote concurrently, seed %i',
     (seed) => {
-      // Two records carry one certificate number. Two proxies see the primary die in the same moment and
-      // both promote a replica, over links that lose answers. Cause: a promoter that counts an answer
-      // it never got, or another's grant, takes a term that is not its own.
-      const scenario = createScenario({ instances: ['p1', 'p2', 'p3'], seed, lossShare: 0.2 });
+      // Guards against split brain when an instance counts a lost response, or a grant made to another
+      // instance, as its own.
+      const scenario = createScenario({ instances: ['p1', 'p2', 'p3'], seed, lossRate: 0.2 });
       scenario.instance('p2').unreachable.add('c1');
       scenario.member('a1').state = 'down';
       const writes = ['p1', 'p2', 'p3'].map((at) => scenario.write({}, at));
@@ -165,10 +155,8 @@
     },
   );
 
-  it('takes a lost answer to a fence for no grant', () => {
-    // Two records carry one certificate number. The primary is dead; p1 fences b1, p2 fences c1, and
-    // each one's order to the other member gets lost. Cause: a promoter that takes "no answer" for
-    // "granted" has no majority, and both promote at the same term.
+  it('does not count a lost response to a fence as a grant', () => {
+    // Guards against split brain: p1 fences only b1 and p2 only c1, so neither has a majority.
     const scenario = createScenario({ instances: ['p1', 'p2'] });
     scenario.instance('p1').lostFences.add('c1');
     scenario.instance('p2').lostFences.add('b1');
@@ -180,9 +168,8 @@
     scenario.runUntil(() => scenario.recordsOf('primaryPromoted').length > 0);
   });
 
-  it('recovers a group that a promoter left fenced and without a primary', () => {
-    // Approvals stop for good although all databases are well: a proxy fenced two of them and died
-    // before it promoted one. Cause: the old primary is refused, and nobody has the new term.
+  it('recovers a group that was fenced but has no primary', () => {
+    // Guards against a permanent outage when an instance fails between fencing and promoting.
     const scenario = createScenario();
     ['b1', 'c1'].forEach((name) => Object.assign(scenario.member(name), { currentTerm: 7 }));
     const write = scenario.write();
@@ -191,18 +178,15 @@
     expect(scenario.member('a1').currentTerm).toBeGreaterThan(7);
   });
 
-  it('brings back a member that recorded a higher term alone', () => {
-    // One more failure and nothing is acknowledged any more: a replica recorded a term in a change
-    // of primary that came to nothing and refuses the log since. Cause: terms never go back.
+  it('reattaches a member that alone recorded a higher term', () => {
+    // Guards against losing a replica for good after a failed failover, since terms never decrease.
     const scenario = createScenario();
     scenario.member('b1').currentTerm = 7;
     scenario.runUntil(() => scenario.member('b1').log.at(-1)?.term === 8);
     expect(scenario.member('a1').role).toBe('primary');
   });
 
-  it('hands over from a leaving primary and cuts nothing in flight', () => {
-    // A planned stop breaks an approval in the middle. The primary is marked as leaving while a
-    // transaction is open at it. Cause: the change of primary did not wait for work in flight.
+  it('hands over from a leaving primary without aborting open transactions', () => {
     const scenario = createScenario();
     const begin = scenario.send({ access: 'transaction' });
     scenario.runUntil(() => begin.outcome !== undefined);
--- a/packages/core/src/test/idleGroup.test.ts
+++ b/packages/core/src/test/idleGroup.test.ts
@@ -2,24 +2,22 @@
 import { createScenario } from './engineScenario';
 import type { Scenario } from './engineScenario';
 
-describe('a group that nobody uses', () => {
-  function countQuestions(scenario: Scenario, milliseconds: number): number {
-    const before = scenario.questionCount();
+describe('idle group', () => {
+  function countStatusRequests(scenario: Scenario, milliseconds: number): number {
+    const before = scenario.statusRequestCount();
     scenario.run(milliseconds);
-    return scenario.questionCount() - before;
+    return scenario.statusRequestCount() - before;
   }
 
-  it('is probed slowly, and at full pace from its next request on', () => {
+  it('is probed at the idle interval until the next request', () => {
     const scenario = createScenario();
     scenario.run(5_000);
-    expect(countQuestions(scenario, 10_000)).toBeLessThanOrEqual(42);
+    expect(countStatusRequests(scenario, 10_000)).toBeLessThanOrEqual(42);
     scenario.read();
-    expect(countQuestions(scenario, 2_000)).toBeGreaterThanOrEqual(45);
+    expect(countStatusRequests(scenario, 2_000)).toBeGreaterThanOrEqual(45);
   });
 
-  it.each(['frozen', 'down'] as const)('still gets another primary when its own is %s', (state) => {
-    // The primary of a group fails in the night while nobody uses it. In the morning the first
-    // technician must not wait for what could have been done meanwhile.
+  it.each(['frozen', 'down'] as const)('replaces its primary when it is %s', (state) => {
     const scenario = createScenario();
     scenario.run(5_000);
     scenario.member('a1').state = state;
@@ -27,9 +25,8 @@
     expect(waited).toBeLessThan(3_000);
   });
 
-  it('serves a write that arrives just after its primary froze', () => {
-    // A technician opens the register after a quiet hour, in the second in which the primary stops.
-    // No probe has seen it yet. The write must go to the next primary or be told unknown in time.
+  it('completes a write that arrives before the failure of its primary is detected', () => {
+    // Guards against the long idle probe interval delaying failover for the first write.
     const scenario = createScenario();
     scenario.run(5_000);
     scenario.member('a1').state = 'frozen';
