--- a/packages/core/src/lib/engine/controlRequestTable.ts
+++ b/packages/core/src/lib/engine/controlRequestTable.ts
@@ -12,7 +12,7 @@
 /** Control requests that have not completed. @internal */
 export interface ControlRequestTable {
   /** Requests with this identifier or a higher one have not been sent yet. */
-  nextId: () => number;
+  peekNextId: () => number;
   add: (request: Omit<ControlRequest, 'questionId'>) => ControlRequest;
   /** Removes and returns the request; undefined if it has completed or timed out. */
   take: (questionId: number) => ControlRequest | undefined;
@@ -76,7 +76,7 @@
   }
 
   return {
-    nextId: () => lastId + 1,
+    peekNextId: () => lastId + 1,
     add,
     take,
     takeSentBy,
--- a/packages/core/src/lib/engine/groupEngine.ts
+++ b/packages/core/src/lib/engine/groupEngine.ts
@@ -31,17 +31,17 @@
 const SHARE_REFRESH_MILLISECONDS = 500;
 
 /** Failover times as multiples of the suspicion time, or of the request timeout for competitors. */
-const UNCONFIRMED_FACTOR = 1.5;
-const STRANDED_FACTOR = 4;
-const STAGGER_FACTOR = 0.25;
-const CHECK_FACTOR = 0.025;
-const VERIFICATION_FACTOR = 0.25;
-const COMPETITOR_FACTOR = 0.5;
-const BACKOFF_FACTOR = 0.5;
-const FOLLOW_FACTOR = 0.5;
-const HANDOVER_GRACE_MILLISECONDS = 1_000;
-const SETTLING_MILLISECONDS = 250;
-const HANDOVER_MILLISECONDS = 5_000;
+const UNCONFIRMED_TIMEOUT_FACTOR = 1.5;
+const STRANDED_TIMEOUT_FACTOR = 4;
+const STAGGER_DELAY_FACTOR = 0.25;
+const PRIMARY_CHECK_INTERVAL_FACTOR = 0.025;
+const MINIMUM_ANSWER_TIMEOUT_FACTOR = 0.25;
+const COMPETITOR_PRECEDENCE_FACTOR = 0.5;
+const BACKOFF_DELAY_FACTOR = 0.5;
+const FOLLOW_INTERVAL_FACTOR = 0.5;
+const HANDOVER_ANNOUNCEMENT_MILLISECONDS = 1_000;
+const OTHER_INSTANCES_DRAIN_MILLISECONDS = 250;
+const OWN_DRAIN_TIMEOUT_MILLISECONDS = 5_000;
 
 /**
  * Creates the engine that routes requests and manages failover for one upstream group.
@@ -93,7 +93,7 @@
     dataCentre,
     members,
     places: capacity,
-    nextControlRequestId: controlRequests.nextId,
+    peekNextControlRequestId: controlRequests.peekNextId,
     holdsWrites,
     onConfirmed,
     emit,
@@ -102,11 +102,11 @@
     members,
     times: {
       suspicionMilliseconds: policy.suspicionMilliseconds,
-      unconfirmedMilliseconds: policy.suspicionMilliseconds * UNCONFIRMED_FACTOR,
-      strandedMilliseconds: policy.suspicionMilliseconds * STRANDED_FACTOR,
-      handoverGraceMilliseconds: HANDOVER_GRACE_MILLISECONDS,
+      unconfirmedMilliseconds: policy.suspicionMilliseconds * UNCONFIRMED_TIMEOUT_FACTOR,
+      strandedMilliseconds: policy.suspicionMilliseconds * STRANDED_TIMEOUT_FACTOR,
+      handoverAnnouncementMilliseconds: HANDOVER_ANNOUNCEMENT_MILLISECONDS,
     },
-    oldestHeldWrite: requests.oldestHeldWrite,
+    getOldestUnconfirmedWrite: requests.getOldestUnconfirmedWrite,
   });
   const failover = createFailoverController({
     group,
@@ -115,7 +115,7 @@
     detector,
     times: createFailoverTimes(policy),
     random,
-    nextControlRequestId: controlRequests.nextId,
+    peekNextControlRequestId: controlRequests.peekNextId,
     sendCommand,
     probeAll: (now) => members.list().forEach((member) => probe(member, now)),
     emit,
@@ -124,7 +124,7 @@
   const probeIntervals = createProbeIntervals({
     policy,
     members,
-    isSteady: () => failover.phase() === 'steady',
+    isSteady: () => failover.getPhase() === 'steady',
   });
   const poller = createStatusPoller({
     members,
@@ -157,20 +157,20 @@
     },
     groupChanged: ({ databases }, now) => {
       members.replaceDatabases(databases, now);
-      capacity.onDatabases(databases);
+      capacity.onDatabasesChanged(databases);
     },
     instancesChanged: ({ liveInstances }, now) => {
-      capacity.onInstances(liveInstances, now);
-      failover.onInstances(liveInstances);
+      capacity.onInstancesChanged(liveInstances, now);
+      failover.onInstancesChanged(liveInstances);
     },
     primaryPublished: ({ term }, now) => {
-      if (term > members.highestTerm()) members.list().forEach((member) => probe(member, now));
+      if (term > members.getHighestTerm()) members.list().forEach((member) => probe(member, now));
     },
     drainStarted: () => failover.onDrainStarted(),
     timerFired: (_event, now) => {
       timerAt = undefined;
       failover.step(now);
-      requests.abortSilentAttempts(now);
+      requests.cancelSilentAttempts(now);
     },
   };
 
@@ -179,7 +179,7 @@
   }
 
   function holdsWrites(): boolean {
-    return failover.holdsWrites();
+    return failover.isBlockingWrites();
   }
 
   function onControlRequestFailed(
@@ -227,14 +227,14 @@
     requests.expire(now);
     requests.dispatch(now);
     const pollAt = poller.poll(requests.getStatusDemand(now), now);
-    setTimer(Math.min(pollAt, nextDueAt(now)), now);
+    setTimer(Math.min(pollAt, getNextDueAt(now)), now);
   }
 
-  function nextDueAt(now: number): number {
+  function getNextDueAt(now: number): number {
     const oldest = controlRequests.getOldestSentAt();
     const timeoutAt = oldest === undefined ? Infinity : oldest + policy.questionTimeoutMilliseconds;
-    const failoverAt = failover.nextDueAt();
-    return Math.min(requests.nextDueAt(), timeoutAt, failoverAt > now ? failoverAt : Infinity);
+    const failoverAt = failover.getNextDueAt();
+    return Math.min(requests.getNextDueAt(), timeoutAt, failoverAt > now ? failoverAt : Infinity);
   }
 
   /** Keeps a timer that is due earlier: a spurious wake-up costs less than resetting it each time. */
@@ -259,9 +259,9 @@
     const list = members.list();
     return {
       group,
-      term: members.highestTerm(),
+      term: members.getHighestTerm(),
       primary: primary?.name,
-      phase: failover.phase(),
+      phase: failover.getPhase(),
       queued: requests.countQueued(),
       running: list.reduce((sum, member) => sum + capacity.running(member), 0),
       members: list.map((member) => createMemberView(member, primary, now)),
@@ -269,14 +269,15 @@
   }
 
   function createMemberView(member: Member, primary: Member | undefined, now: number): MemberView {
-    const { name, database, status, answeredAt } = member;
+    const { name, database, status, newestAnsweredRequestSentAt } = member;
     return {
       name,
       dataCentre: database.dataCentre,
       role: getRole(member, primary),
       applied: status?.applied,
-      silentMilliseconds: answeredAt === undefined ? undefined : now - answeredAt,
-      connectionShare: capacity.allowedConnections(member),
+      silentMilliseconds:
+        newestAnsweredRequestSentAt === undefined ? undefined : now - newestAnsweredRequestSentAt,
+      connectionShare: capacity.getAllowedConnections(member),
       running: capacity.running(member),
       isLeaving: database.leaving,
     };
@@ -293,14 +294,14 @@
 function createFailoverTimes(policy: EnginePolicy): FailoverTimes {
   const { suspicionMilliseconds, questionTimeoutMilliseconds } = policy;
   return {
-    checkMilliseconds: suspicionMilliseconds * CHECK_FACTOR,
-    staggerMilliseconds: suspicionMilliseconds * STAGGER_FACTOR,
-    verificationMilliseconds: suspicionMilliseconds * VERIFICATION_FACTOR,
+    checkMilliseconds: suspicionMilliseconds * PRIMARY_CHECK_INTERVAL_FACTOR,
+    staggerMilliseconds: suspicionMilliseconds * STAGGER_DELAY_FACTOR,
+    minimumAnswerTimeoutMilliseconds: suspicionMilliseconds * MINIMUM_ANSWER_TIMEOUT_FACTOR,
     questionTimeoutMilliseconds,
-    competitorMilliseconds: questionTimeoutMilliseconds * COMPETITOR_FACTOR,
-    backoffMilliseconds: suspicionMilliseconds * BACKOFF_FACTOR,
-    followMilliseconds: suspicionMilliseconds * FOLLOW_FACTOR,
-    settlingMilliseconds: SETTLING_MILLISECONDS,
-    handoverMilliseconds: HANDOVER_MILLISECONDS,
+    competitorMilliseconds: questionTimeoutMilliseconds * COMPETITOR_PRECEDENCE_FACTOR,
+    backoffMilliseconds: suspicionMilliseconds * BACKOFF_DELAY_FACTOR,
+    followMilliseconds: suspicionMilliseconds * FOLLOW_INTERVAL_FACTOR,
+    otherInstancesDrainMilliseconds: OTHER_INSTANCES_DRAIN_MILLISECONDS,
+    ownDrainTimeoutMilliseconds: OWN_DRAIN_TIMEOUT_MILLISECONDS,
   };
 }
--- a/packages/core/src/lib/engine/memberCapacity.ts
+++ b/packages/core/src/lib/engine/memberCapacity.ts
@@ -22,15 +22,15 @@
   /** Number of statements of this instance running at the member. */
   running: (member: Member) => number;
   onConnectionRefused: (member: Member, now: number) => void;
-  onDatabases: (databases: Database[]) => void;
-  onInstances: (liveInstances: string[], now: number) => void;
+  onDatabasesChanged: (databases: Database[]) => void;
+  onInstancesChanged: (liveInstances: string[], now: number) => void;
   /** Recalculates the connection shares, which change over time without events. */
   refresh: (now: number) => void;
-  allowedConnections: (member: Member) => number;
+  getAllowedConnections: (member: Member) => number;
 }
 
 /** Share of a database's connections kept free for status requests and new instances. */
-const RESERVED_SHARE = 0.25;
+const RESERVED_FRACTION = 0.25;
 
 /**
  * Tracks connections and running statements per member.
@@ -45,7 +45,7 @@
   let slotsByMember = new Map<string, number>();
 
   function createUsage({ connectionLimit, slots }: Database): MemberUsage {
-    const reserved = Math.ceil(connectionLimit * RESERVED_SHARE);
+    const reserved = Math.ceil(connectionLimit * RESERVED_FRACTION);
     return {
       running: 0,
       connections: 0,
@@ -63,7 +63,7 @@
     return created;
   }
 
-  function onDatabases(changed: Database[]): void {
+  function onDatabasesChanged(changed: Database[]): void {
     changed.forEach((database) => {
       const known = usageByMember.get(database.name);
       if (!known) usageByMember.set(database.name, createUsage(database));
@@ -72,7 +72,7 @@
     slotsByMember = new Map(changed.map(({ name, slots }) => [name, slots]));
   }
 
-  function onInstances(liveInstances: string[], now: number): void {
+  function onInstancesChanged(liveInstances: string[], now: number): void {
     instances = liveInstances.includes(instance) ? liveInstances : [...liveInstances, instance];
     usageByMember.forEach(({ share, limit }, name) => {
       share.update(liveInstances, instance, now);
@@ -90,7 +90,7 @@
     return connections < allowedConnections && running < limit.limit();
   }
 
-  onDatabases(databases);
+  onDatabasesChanged(databases);
   return {
     hasPlace,
     takeConnection: (member) => {
@@ -109,9 +109,9 @@
     },
     running: (member) => getUsage(member).running,
     onConnectionRefused: (member, now) => getUsage(member).share.recordRefusal(now),
-    onDatabases,
-    onInstances,
+    onDatabasesChanged,
+    onInstancesChanged,
     refresh,
-    allowedConnections: (member) => getUsage(member).allowedConnections,
+    getAllowedConnections: (member) => getUsage(member).allowedConnections,
   };
 }
--- a/packages/core/src/lib/engine/memberTable.ts
+++ b/packages/core/src/lib/engine/memberTable.ts
@@ -17,7 +17,7 @@
    * Send time of the newest answered request. The arrival time is unreliable, since a response can
    * wait while this process is paused.
    */
-  answeredAt: number | undefined;
+  newestAnsweredRequestSentAt: number | undefined;
   smoothedRoundTripMilliseconds: number;
   /** Start of the current silence: the last response, the first request or the end of a pause. */
   silentSince: number;
@@ -48,12 +48,12 @@
   /** Restarts failure detection for every member, after a pause of this process. */
   resetSilences: (now: number) => void;
   /** Highest term recorded by a majority; undefined before a majority has responded. */
-  majorityTerm: () => number | undefined;
+  getMajorityTerm: () => number | undefined;
   /** The member that reports itself as primary of that term or a higher one. */
   primary: () => Member | undefined;
-  highestTerm: () => number;
+  getHighestTerm: () => number;
   /** Ignores the member's claim to be primary in responses to requests before the given one. */
-  rejectPrimaryClaimBefore: (name: string, fromControlRequestId: number) => void;
+  rejectPrimaryClaimBefore: (name: string, firstValidRequestId: number) => void;
 }
 
 /** @internal */
@@ -101,7 +101,10 @@
     if (!member) return undefined;
     member.smoothedRoundTripMilliseconds +=
       (now - sentAt - member.smoothedRoundTripMilliseconds) * ROUND_TRIP_SMOOTHING;
-    member.answeredAt = Math.max(member.answeredAt ?? sentAt, sentAt);
+    member.newestAnsweredRequestSentAt = Math.max(
+      member.newestAnsweredRequestSentAt ?? sentAt,
+      sentAt,
+    );
     member.silentSince = Math.max(member.silentSince, sentAt);
     member.failedQuestions = 0;
     member.consecutiveUnreachable = 0;
@@ -168,14 +171,14 @@
     primary = findPrimary();
   }
 
-  function rejectPrimaryClaimBefore(name: string, fromControlRequestId: number): void {
+  function rejectPrimaryClaimBefore(name: string, firstValidRequestId: number): void {
     const member = byName.get(name);
     if (!member) return;
-    member.primaryClaimValidFromRequestId = fromControlRequestId;
+    member.primaryClaimValidFromRequestId = firstValidRequestId;
     refreshPrimary();
   }
 
-  function highestTerm(): number {
+  function getHighestTerm(): number {
     return Math.max(0, ...members.map(termOf));
   }
 
@@ -187,10 +190,10 @@
     onAnswered,
     onFailed,
     resetSilences,
-    majorityTerm: () => majorityTerm,
+    getMajorityTerm: () => majorityTerm,
     primary: () => primary,
     rejectPrimaryClaimBefore,
-    highestTerm,
+    getHighestTerm,
   };
 }
 
@@ -201,7 +204,10 @@
 
 /** Whether a request sent within the last `withinMilliseconds` was answered. @internal */
 export function hasAnswered(member: Member, withinMilliseconds: number, now: number): boolean {
-  return member.answeredAt !== undefined && now - member.answeredAt <= withinMilliseconds;
+  return (
+    member.newestAnsweredRequestSentAt !== undefined &&
+    now - member.newestAnsweredRequestSentAt <= withinMilliseconds
+  );
 }
 
 /**
@@ -229,7 +235,7 @@
     status: undefined,
     statusQuestionId: -1,
     statusAskedAt: Number.NEGATIVE_INFINITY,
-    answeredAt: undefined,
+    newestAnsweredRequestSentAt: undefined,
     smoothedRoundTripMilliseconds: 0,
     silentSince: now,
     failedQuestions: 0,
--- a/packages/core/src/lib/engine/outcomes.ts
+++ b/packages/core/src/lib/engine/outcomes.ts
@@ -6,16 +6,19 @@
 }
 
 /** @internal */
-export function createNotRunOutcome(reason: NotRunReason, retryAfter: number): Outcome {
-  return { status: 'notRun', reason, retryAfterMilliseconds: Math.ceil(retryAfter) };
+export function createNotRunOutcome(reason: NotRunReason, retryAfterMilliseconds: number): Outcome {
+  return { status: 'notRun', reason, retryAfterMilliseconds: Math.ceil(retryAfterMilliseconds) };
 }
 
 /** @internal */
-export function createUnknownOutcome(reason: UnknownReason, retryAfter: number): Outcome {
-  return { status: 'unknown', reason, retryAfterMilliseconds: Math.ceil(retryAfter) };
+export function createUnknownOutcome(
+  reason: UnknownReason,
+  retryAfterMilliseconds: number,
+): Outcome {
+  return { status: 'unknown', reason, retryAfterMilliseconds: Math.ceil(retryAfterMilliseconds) };
 }
 
 /** @internal */
-export function createDiscardedOutcome(retryAfter: number): Outcome {
-  return { status: 'discarded', retryAfterMilliseconds: Math.ceil(retryAfter) };
+export function createDiscardedOutcome(retryAfterMilliseconds: number): Outcome {
+  return { status: 'discarded', retryAfterMilliseconds: Math.ceil(retryAfterMilliseconds) };
 }
--- a/packages/core/src/lib/engine/probeIntervals.ts
+++ b/packages/core/src/lib/engine/probeIntervals.ts
@@ -13,8 +13,8 @@
 /** A group is idle once this long has passed since its last request. */
 const IDLE_TIMEOUT_MILLISECONDS = 3_000;
 /** Refused probes in a row after which an unreachable member is no longer probed faster. */
-const MAXIMUM_FAST_RECHECKS = 5;
-const FAST_RECHECK_FACTOR = 0.5;
+const MAXIMUM_FAST_PROBES = 5;
+const FAST_PROBE_FACTOR = 0.5;
 
 /**
  * Creates the probe intervals: longer for groups that are idle and healthy, to save control traffic.
@@ -43,11 +43,11 @@
 
   /** Faster probes tell a dead process from a transient fault sooner. */
   function isNewlyUnreachable({ consecutiveUnreachable }: Member): boolean {
-    return consecutiveUnreachable > 0 && consecutiveUnreachable < MAXIMUM_FAST_RECHECKS;
+    return consecutiveUnreachable > 0 && consecutiveUnreachable < MAXIMUM_FAST_PROBES;
   }
 
   function getInterval(member: Member, now: number): number {
-    if (isNewlyUnreachable(member)) return probeIntervalMilliseconds * FAST_RECHECK_FACTOR;
+    if (isNewlyUnreachable(member)) return probeIntervalMilliseconds * FAST_PROBE_FACTOR;
     return isIdleAndHealthy(now) ? idleProbeIntervalMilliseconds : probeIntervalMilliseconds;
   }
 
--- a/packages/core/src/lib/engine/requestCompletion.ts
+++ b/packages/core/src/lib/engine/requestCompletion.ts
@@ -1,6 +1,6 @@
 import type { NotRunReason, Outcome } from '@wisterialift/schema';
 import { createDiscardedOutcome, createNotRunOutcome, createUnknownOutcome } from './outcomes';
-import { changesData } from './requestContext';
+import { canChangeData } from './requestContext';
 import type { RequestContext } from './requestContext';
 import type { TrackedRequest } from './requestTable';
 
@@ -20,8 +20,17 @@
  * @internal
  */
 export function createRequestCompletion(context: RequestContext): RequestCompletion {
-  const { policy, members, requests, awaitingFloor, rounds, heldWrites, getQueue, record, emit } =
-    context;
+  const {
+    policy,
+    members,
+    requests,
+    awaitingFloor,
+    rounds,
+    unconfirmedWrites,
+    getQueue,
+    record,
+    emit,
+  } = context;
 
   function complete(request: TrackedRequest, outcome: Outcome): void {
     remove(request);
@@ -32,36 +41,37 @@
     requests.delete(request.requestId);
     awaitingFloor.delete(request);
     if (request.phase === 'queued') getQueue(request).remove(request.requestId);
-    if (request.phase === 'held') heldWrites.remove(request.requestId);
+    if (request.phase === 'awaitingConfirmation') unconfirmedWrites.remove(request.requestId);
     if (request.round) rounds.leave(request.round);
     request.round = undefined;
   }
 
   /** Completes a request that gets no further attempt. */
   function reject(request: TrackedRequest, reason: NotRunReason, now: number): void {
-    const retryAfter = computeRetryAfter(reason, request, now);
+    const retryAfterMilliseconds = computeRetryAfter(reason, request, now);
     record({
       name: 'requestRejected',
       requestId: request.requestId,
       reason,
-      retryAfterMilliseconds: Math.ceil(retryAfter),
+      retryAfterMilliseconds: Math.ceil(retryAfterMilliseconds),
     });
-    if (!request.hasPossiblyRun) complete(request, createNotRunOutcome(reason, retryAfter));
-    else complete(request, createOutcomeAfterLoss(request, 'deadline', retryAfter));
+    if (!request.hasPossiblyRun)
+      complete(request, createNotRunOutcome(reason, retryAfterMilliseconds));
+    else complete(request, createOutcomeOfPossiblyRun(request, 'deadline', retryAfterMilliseconds));
   }
 
   /**
    * Returns the outcome of a request that may have run. A write is never reported as `notRun`: the
    * caller would repeat it although it may be stored.
    */
-  function createOutcomeAfterLoss(
+  function createOutcomeOfPossiblyRun(
     request: TrackedRequest,
     reason: 'deadline' | 'connectionLost',
-    retryAfter: number,
+    retryAfterMilliseconds: number,
   ): Outcome {
-    if (!changesData(request.access)) return createDiscardedOutcome(retryAfter);
-    const isReplaced = (members.majorityTerm() ?? 0) > request.term;
-    return createUnknownOutcome(isReplaced ? 'primaryReplaced' : reason, retryAfter);
+    if (!canChangeData(request.access)) return createDiscardedOutcome(retryAfterMilliseconds);
+    const isReplaced = (members.getMajorityTerm() ?? 0) > request.term;
+    return createUnknownOutcome(isReplaced ? 'primaryReplaced' : reason, retryAfterMilliseconds);
   }
 
   function computeRetryAfter(reason: NotRunReason, request: TrackedRequest, now: number): number {
@@ -76,8 +86,11 @@
     remove,
     reject,
     completeAfterLoss: (request) => {
-      const retryAfter = policy.probeIntervalMilliseconds;
-      complete(request, createOutcomeAfterLoss(request, 'connectionLost', retryAfter));
+      const retryAfterMilliseconds = policy.probeIntervalMilliseconds;
+      complete(
+        request,
+        createOutcomeOfPossiblyRun(request, 'connectionLost', retryAfterMilliseconds),
+      );
     },
   };
 }
--- a/packages/core/src/lib/engine/requestContext.ts
+++ b/packages/core/src/lib/engine/requestContext.ts
@@ -20,7 +20,7 @@
   /** Requests waiting for the floor (minimum position) of their round. */
   awaitingFloor: Set<TrackedRequest>;
   rounds: FloorRounds;
-  heldWrites: ConfirmationTracker;
+  unconfirmedWrites: ConfirmationTracker;
   getQueue: (request: TrackedRequest) => AdmissionQueue<TrackedRequest>;
   record: (record: EngineRecord) => void;
   /** Marks that waiting requests may have become dispatchable. */
@@ -35,7 +35,7 @@
   dataCentre: string;
   members: MemberTable;
   places: MemberCapacity;
-  nextControlRequestId: () => number;
+  peekNextControlRequestId: () => number;
   /** Whether writes are held back during a failover. */
   holdsWrites: () => boolean;
   /** Called when a write is confirmed, with the time since its completion. */
@@ -63,7 +63,7 @@
     changes,
     awaitingFloor: new Set(),
     rounds: createFloorRounds(members),
-    heldWrites: createConfirmationTracker(members),
+    unconfirmedWrites: createConfirmationTracker(members),
     getQueue: ({ access }) => (access === 'read' ? reads : changes),
     record: (record) => emit({ type: 'record', record }),
     scheduleDispatch: () => {
@@ -74,6 +74,6 @@
 }
 
 /** Whether a request with this access can change stored data. @internal */
-export function changesData(access: Access): boolean {
+export function canChangeData(access: Access): boolean {
   return access === 'write' || access === 'commit';
 }
--- a/packages/core/src/lib/engine/requestFlow.ts
+++ b/packages/core/src/lib/engine/requestFlow.ts
@@ -22,15 +22,15 @@
   /** Updates floors, staleness, confirmations and routes after a status response. */
   onAnswered: (member: Member, now: number) => void;
   /** Ends attempts at members that no longer respond. */
-  abortSilentAttempts: (now: number) => void;
+  cancelSilentAttempts: (now: number) => void;
   /** Completes requests that have reached their deadline. */
   expire: (now: number) => void;
   /** Sends waiting requests to members with free capacity. */
   dispatch: (now: number) => void;
   getStatusDemand: (now: number) => StatusDemand;
-  nextDueAt: () => number;
+  getNextDueAt: () => number;
   /** Returns the write that has waited longest for confirmation. */
-  oldestHeldWrite: () => HeldWrite | undefined;
+  getOldestUnconfirmedWrite: () => HeldWrite | undefined;
   /** Number of statements and transactions of this instance at the member. */
   countInFlight: (member: string) => number;
   countQueued: () => number;
@@ -48,9 +48,18 @@
  */
 export function createRequestFlow(options: RequestContextOptions): RequestFlow {
   const context = createRequestContext(options);
-  const { policy, members, places, requests, reads, changes, awaitingFloor, rounds, heldWrites } =
-    context;
-  const { getQueue, record, scheduleDispatch, nextControlRequestId, onConfirmed } = context;
+  const {
+    policy,
+    members,
+    places,
+    requests,
+    reads,
+    changes,
+    awaitingFloor,
+    rounds,
+    unconfirmedWrites,
+  } = context;
+  const { getQueue, record, scheduleDispatch, peekNextControlRequestId, onConfirmed } = context;
   const completion = createRequestCompletion(context);
   const { complete, reject } = completion;
   const router = createRequestRouter(context);
@@ -66,7 +75,7 @@
 
   function onArrived(request: EngineRequest, now: number): void {
     const tracked = requests.add(request);
-    attempts.recordFirstAttempt(now);
+    attempts.recordArrival(now);
     arrivals[request.access](tracked, now);
   }
 
@@ -86,7 +95,7 @@
       reject(request, 'overloaded', now);
       return;
     }
-    request.round = rounds.join(nextControlRequestId());
+    request.round = rounds.join(peekNextControlRequestId());
     request.phase = 'awaitingFloor';
     awaitingFloor.add(request);
   }
@@ -117,7 +126,7 @@
   function dispatch(now: number): void {
     if (!context.takeDispatchPending()) return;
     dispatchReads(now);
-    dispatchChanges(now);
+    dispatchToPrimary(now);
   }
 
   function dispatchReads(now: number): void {
@@ -140,7 +149,7 @@
     record({ name: 'readRouted', member: member.name, isReplica, by });
   }
 
-  function dispatchChanges(now: number): void {
+  function dispatchToPrimary(now: number): void {
     while (changes.length() > 0) {
       const primary = router.usablePrimary(now);
       if (!primary || !places.hasPlace(primary)) return;
@@ -153,14 +162,14 @@
   function onCancelled(requestId: string, now: number): void {
     const request = requests.get(requestId);
     if (!request) return;
-    if (request.phase === 'running') attempts.abandonAttempt(request, now);
+    if (request.phase === 'running') attempts.cancelAttempt(request, now);
     completion.remove(request);
   }
 
   function onAnswered(member: Member, now: number): void {
     rounds.onAnswered(member);
     samples.onAnswered(member, now);
-    heldWrites.takeSettled().forEach((settled) => onSettled(settled, now));
+    unconfirmedWrites.takeSettled().forEach((settled) => onSettled(settled, now));
     enqueueWithFloor(now);
     scheduleDispatch();
   }
@@ -200,29 +209,29 @@
   }
 
   function onDeadline(request: TrackedRequest, now: number): void {
-    if (request.phase === 'running') attempts.abandonAttempt(request, now);
+    if (request.phase === 'running') attempts.cancelAttempt(request, now);
     reject(request, router.reasonOf(request, now), now);
   }
 
   function getStatusDemand(now: number): StatusDemand {
-    const hasHeldWrites = heldWrites.size() > 0;
-    const openRound = rounds.newestOpen();
-    const isUrgent = hasHeldWrites || openRound > 0;
+    const hasUnconfirmedWrites = unconfirmedWrites.size() > 0;
+    const openRoundRequestId = rounds.newestOpen();
+    const isUrgent = hasUnconfirmedWrites || openRoundRequestId > 0;
     return {
       fromControlRequestId: Math.max(
-        openRound,
-        hasHeldWrites ? attempts.newestHeldControlRequestId() : 0,
+        openRoundRequestId,
+        hasUnconfirmedWrites ? attempts.getFirstConfirmingRequestId() : 0,
       ),
-      isContinuous: hasHeldWrites || router.waitsForMembers(now),
+      isContinuous: hasUnconfirmedWrites || router.waitsForMembers(now),
       minimumIntervalMilliseconds: isUrgent
         ? policy.confirmIntervalMilliseconds
         : Math.max(WAITING_INTERVAL_MILLISECONDS, policy.confirmIntervalMilliseconds),
     };
   }
 
-  function nextDueAt(): number {
+  function getNextDueAt(): number {
     return Math.min(
-      requests.nextDueAt(),
+      requests.getNextDueAt(),
       reads.nextDeadline() ?? Number.POSITIVE_INFINITY,
       changes.nextDeadline() ?? Number.POSITIVE_INFINITY,
     );
@@ -234,14 +243,14 @@
     onFinished: attempts.onFinished,
     onTransactionFinished: attempts.onTransactionFinished,
     onAnswered,
-    abortSilentAttempts: (now) => {
-      attempts.abortSilentAttempts((member) => router.isSilent(member, now), now);
+    cancelSilentAttempts: (now) => {
+      attempts.cancelSilentAttempts((member) => router.isSilent(member, now), now);
     },
     expire,
     dispatch,
     getStatusDemand,
-    nextDueAt,
-    oldestHeldWrite: heldWrites.oldest,
+    getNextDueAt,
+    getOldestUnconfirmedWrite: unconfirmedWrites.oldest,
     countInFlight: attempts.countInFlight,
     countQueued: () => awaitingFloor.size + reads.length() + changes.length(),
   };
--- a/packages/core/src/lib/engine/requestTable.ts
+++ b/packages/core/src/lib/engine/requestTable.ts
@@ -14,7 +14,7 @@
  *
  * @internal
  */
-export type RequestPhase = 'awaitingFloor' | 'queued' | 'running' | 'held';
+export type RequestPhase = 'awaitingFloor' | 'queued' | 'running' | 'awaitingConfirmation';
 
 /** An open request. @internal */
 export interface TrackedRequest extends EngineRequest {
@@ -30,7 +30,7 @@
   /** Whether an attempt was sent and not refused. */
   hasPossiblyRun: boolean;
   /** Whether an attempt was aborted because its member stopped responding. */
-  isAborted: boolean;
+  hasCancelledAttempt: boolean;
   /** Member that failed the last attempt. */
   avoid: string | undefined;
   /** Until this time, a read waits for a replica instead of using the primary. */
@@ -48,7 +48,7 @@
   wakeAt: (request: TrackedRequest, at: number) => void;
   /** Removes one due time and returns its request; undefined if none is due. */
   takeDue: (now: number) => TrackedRequest | undefined;
-  nextDueAt: () => number;
+  getNextDueAt: () => number;
 }
 
 interface DueRequest {
@@ -89,7 +89,7 @@
       startedAt: request.arrivedAt,
       round: undefined,
       hasPossiblyRun: false,
-      isAborted: false,
+      hasCancelledAttempt: false,
       avoid: undefined,
       patienceUntil: undefined,
       position: undefined,
@@ -128,6 +128,6 @@
     values: () => requests.values(),
     wakeAt: (request, at) => due.push({ at, request }),
     takeDue,
-    nextDueAt: () => peekOpen()?.at ?? Number.POSITIVE_INFINITY,
+    getNextDueAt: () => peekOpen()?.at ?? Number.POSITIVE_INFINITY,
   };
 }
--- a/packages/core/src/lib/engine/statementAttempts.ts
+++ b/packages/core/src/lib/engine/statementAttempts.ts
@@ -4,7 +4,7 @@
 import type { RequestCompletion } from './requestCompletion';
 import type { RefusalReason, StatementResult } from './messages';
 import { createDoneOutcome } from './outcomes';
-import { changesData } from './requestContext';
+import { canChangeData } from './requestContext';
 import type { RequestContext } from './requestContext';
 import type { TrackedRequest } from './requestTable';
 
@@ -25,22 +25,22 @@
 /** @internal */
 export interface StatementAttempts {
   run: (request: TrackedRequest, member: Member, now: number) => void;
-  recordFirstAttempt: (now: number) => void;
+  recordArrival: (now: number) => void;
   onFinished: (finished: AttemptResult, now: number) => void;
   onTransactionFinished: (transactionId: string) => void;
   getTransaction: (request: TrackedRequest) => OpenTransaction | undefined;
   /** Ends the running attempt; a response that arrives later is dropped. */
-  abandonAttempt: (request: TrackedRequest, now: number) => void;
+  cancelAttempt: (request: TrackedRequest, now: number) => void;
   /** Ends attempts at members for which `isSilent` returns true. */
-  abortSilentAttempts: (isSilent: (member: Member) => boolean, now: number) => void;
+  cancelSilentAttempts: (isSilent: (member: Member) => boolean, now: number) => void;
   /** First control request whose response can confirm the newest held write. */
-  newestHeldControlRequestId: () => number;
+  getFirstConfirmingRequestId: () => number;
   /** Number of statements and transactions of this instance at the member. */
   countInFlight: (member: string) => number;
 }
 
 /** A member that refused a connection receives no statements for this long. */
-const CONNECTION_REFUSED_PAUSE_MILLISECONDS = 25;
+const MEMBER_AVOIDANCE_MILLISECONDS = 25;
 /** Retries allowed regardless of the share of first attempts. */
 const MINIMUM_RETRIES = 10;
 
@@ -53,12 +53,12 @@
   context: RequestContext,
   completion: RequestCompletion,
 ): StatementAttempts {
-  const { policy, members, places, requests, heldWrites, getQueue, record, emit } = context;
-  const { scheduleDispatch, nextControlRequestId } = context;
+  const { policy, members, places, requests, unconfirmedWrites, getQueue, record, emit } = context;
+  const { scheduleDispatch, peekNextControlRequestId } = context;
   const { complete, reject, completeAfterLoss } = completion;
   const budget = createRetryBudget({ share: policy.retryShare, minimumTokens: MINIMUM_RETRIES });
   const transactions = new Map<string, OpenTransaction>();
-  let newestHeldControlRequestId = 0;
+  let firstConfirmingRequestId = 0;
 
   function run(request: TrackedRequest, member: Member, now: number): void {
     request.phase = 'running';
@@ -118,20 +118,20 @@
     result: Extract<StatementResult, { kind: 'completed' }>,
     now: number,
   ): void {
-    if (!changesData(request.access)) {
+    if (!canChangeData(request.access)) {
       complete(request, createDoneOutcome(undefined));
       return;
     }
-    request.phase = 'held';
+    request.phase = 'awaitingConfirmation';
     request.hasPossiblyRun = true;
     request.position = result.position;
     request.term = result.position?.term ?? request.term;
-    newestHeldControlRequestId = nextControlRequestId();
-    heldWrites.hold({
+    firstConfirmingRequestId = peekNextControlRequestId();
+    unconfirmedWrites.hold({
       requestId: request.requestId,
       term: request.term,
       position: result.position,
-      firstQuestionId: newestHeldControlRequestId,
+      firstQuestionId: firstConfirmingRequestId,
       completedAt: now,
     });
   }
@@ -144,15 +144,15 @@
   const refusalHandlers: Record<RefusalReason, (member: Member, now: number) => void> = {
     connectionLimit: (member, now) => {
       places.onConnectionRefused(member, now);
-      pauseMember(member, now);
+      avoidMember(member, now);
     },
-    connectFailed: pauseMember,
-    notPrimary: ({ name }) => members.rejectPrimaryClaimBefore(name, nextControlRequestId()),
+    connectFailed: avoidMember,
+    notPrimary: ({ name }) => members.rejectPrimaryClaimBefore(name, peekNextControlRequestId()),
     stopping: () => {},
   };
 
-  function pauseMember(member: Member, now: number): void {
-    Object.assign(member, { avoidUntil: now + CONNECTION_REFUSED_PAUSE_MILLISECONDS });
+  function avoidMember(member: Member, now: number): void {
+    Object.assign(member, { avoidUntil: now + MEMBER_AVOIDANCE_MILLISECONDS });
   }
 
   /**
@@ -177,7 +177,7 @@
     now: number,
   ): void {
     request.hasPossiblyRun = true;
-    const canRetry = !changesData(request.access) && request.isRepeatable && !answerStarted;
+    const canRetry = !canChangeData(request.access) && request.isRepeatable && !answerStarted;
     if (canRetry) retry(request, 'lost', now);
     else completeAfterLoss(request);
   }
@@ -202,7 +202,7 @@
     scheduleDispatch();
   }
 
-  function abandonAttempt(request: TrackedRequest, now: number): void {
+  function cancelAttempt(request: TrackedRequest, now: number): void {
     const { requestId, attempt } = request;
     const { member } = request;
     if (member) releaseCapacity(request, member, false, now);
@@ -215,18 +215,18 @@
    * A frozen database keeps its connections open, so callers would wait until their deadline.
    * Reads are retried on another member; writes end as unknown once the primary is replaced.
    */
-  function abortSilentAttempts(isSilent: (member: Member) => boolean, now: number): void {
+  function cancelSilentAttempts(isSilent: (member: Member) => boolean, now: number): void {
     members
       .list()
       .filter((member) => places.running(member) > 0 && isSilent(member))
-      .forEach((member) => abortAttempts(member, now));
+      .forEach((member) => cancelAttemptsAt(member, now));
   }
 
-  function abortAttempts(member: Member, now: number): void {
+  function cancelAttemptsAt(member: Member, now: number): void {
     for (const request of requests.values()) {
       if (request.phase !== 'running' || request.member?.name !== member.name) continue;
-      if (!changesData(request.access)) abortRead(request);
-      else if ((members.majorityTerm() ?? 0) > request.term) onPrimaryReplaced(request, now);
+      if (!canChangeData(request.access)) cancelReadForRetry(request);
+      else if ((members.getMajorityTerm() ?? 0) > request.term) onPrimaryReplaced(request, now);
     }
   }
 
@@ -234,15 +234,15 @@
    * Aborts a read at most once: a long read can make a busy database look frozen, and aborting it
    * at each member in turn would never let it finish.
    */
-  function abortRead(request: TrackedRequest): void {
-    if (request.isAborted) return;
+  function cancelReadForRetry(request: TrackedRequest): void {
+    if (request.hasCancelledAttempt) return;
     const { requestId, attempt } = request;
-    request.isAborted = true;
+    request.hasCancelledAttempt = true;
     emit({ type: 'abandonStatement', requestId, attempt, reportsLoss: true });
   }
 
   function onPrimaryReplaced(request: TrackedRequest, now: number): void {
-    abandonAttempt(request, now);
+    cancelAttempt(request, now);
     completeAfterLoss(request);
   }
 
@@ -254,13 +254,13 @@
 
   return {
     run,
-    recordFirstAttempt: budget.recordFirstTry,
+    recordArrival: budget.recordFirstTry,
     onFinished,
     onTransactionFinished,
     getTransaction: ({ transactionId }) => transactions.get(transactionId ?? ''),
-    abandonAttempt,
-    abortSilentAttempts,
-    newestHeldControlRequestId: () => newestHeldControlRequestId,
+    cancelAttempt,
+    cancelSilentAttempts: cancelSilentAttempts,
+    getFirstConfirmingRequestId: () => firstConfirmingRequestId,
     countInFlight,
   };
 }
--- a/packages/core/src/lib/engine/statusPoller.ts
+++ b/packages/core/src/lib/engine/statusPoller.ts
@@ -25,7 +25,7 @@
 /** Limit of concurrent status requests to a member on demand. */
 const MAXIMUM_OPEN_REQUESTS = 3;
 /** Limit of concurrent status requests for floors and confirmations. */
-const MAXIMUM_OVERLAPPING = 2;
+const MAXIMUM_OPEN_REQUESTS_FOR_NEW_DEMAND = 2;
 /** A response is late after this many round trips, but not before the minimum below. */
 const LATE_ROUND_TRIPS = 3;
 const MINIMUM_LATENESS_MILLISECONDS = 20;
@@ -86,7 +86,7 @@
   }
 
   /** Calculated on each call, so that a shorter interval takes effect immediately. */
-  function nextProbeAt(member: Member, schedule: Schedule, now: number): number {
+  function getNextProbeAt(member: Member, schedule: Schedule, now: number): number {
     const { lastSentAt, jitter, suspendedUntil } = schedule;
     return Math.max(lastSentAt + probeIntervals.getInterval(member, now) * jitter, suspendedUntil);
   }
@@ -109,23 +109,24 @@
     if (member.failedQuestions >= FAILURES_BEFORE_PROBES_ONLY) return false;
     const open = requests.countOpen(member.name);
     if (open >= MAXIMUM_OPEN_REQUESTS) return false;
-    if (demand.fromControlRequestId > schedule.lastRequestId) return open < MAXIMUM_OVERLAPPING;
+    if (demand.fromControlRequestId > schedule.lastRequestId)
+      return open < MAXIMUM_OPEN_REQUESTS_FOR_NEW_DEMAND;
     return demand.isContinuous && (open === 0 || isLate(member, schedule, now));
   }
 
   function pollMember(member: Member, demand: StatusDemand, now: number): number {
     const schedule = getSchedule(member);
-    const probeAt = nextProbeAt(member, schedule, now);
+    const probeAt = getNextProbeAt(member, schedule, now);
     if (now >= probeAt) {
       if (requests.countOpen(member.name) < MAXIMUM_OPEN_PROBES) probeMember(member, schedule, now);
       else schedule.suspendedUntil = now + probeIntervals.getInterval(member, now);
-      return nextProbeAt(member, schedule, now);
+      return getNextProbeAt(member, schedule, now);
     }
     if (!isStatusNeeded(member, schedule, demand, now)) return probeAt;
     const earliest = schedule.lastSentAt + demand.minimumIntervalMilliseconds;
     if (now < earliest) return Math.min(earliest, probeAt);
     probeMember(member, schedule, now);
-    return nextProbeAt(member, schedule, now);
+    return getNextProbeAt(member, schedule, now);
   }
 
   function poll(demand: StatusDemand, now: number): number {
--- a/packages/core/src/lib/failover/failoverController.ts
+++ b/packages/core/src/lib/failover/failoverController.ts
@@ -8,7 +8,7 @@
 import { createFailoverLifecycle } from './failoverMachine';
 import type { FailoverPhase, Suspicion } from './failoverMachine';
 import { createMemberAttachment } from './memberAttachment';
-import { DEAD_MEMBER_REFUSALS } from './primaryFailureDetector';
+import { DEAD_MEMBER_CONNECTION_REFUSALS } from './primaryFailureDetector';
 import type { PrimaryFailureDetector } from './primaryFailureDetector';
 import { createFailoverCoordination } from './failoverCoordination';
 import type { CoordinationTimes } from './failoverCoordination';
@@ -19,12 +19,12 @@
   onAnswered: (answer: FailoverAnswer, now: number) => void;
   onFailed: (failure: FailoverFailure, now: number) => void;
   onPaused: (now: number) => void;
-  onInstances: (liveInstances: string[]) => void;
+  onInstancesChanged: (liveInstances: string[]) => void;
   onDrainStarted: () => void;
-  phase: () => FailoverPhase;
+  getPhase: () => FailoverPhase;
   /** Whether writes are held back because the primary is about to be replaced. */
-  holdsWrites: () => boolean;
-  nextDueAt: () => number;
+  isBlockingWrites: () => boolean;
+  getNextDueAt: () => number;
 }
 
 /** @internal */
@@ -48,14 +48,14 @@
   /** Interval between checks for a failed primary in the phase `steady`. */
   checkMilliseconds: number;
   /** Minimum time to wait for responses before fencing. */
-  verificationMilliseconds: number;
+  minimumAnswerTimeoutMilliseconds: number;
   questionTimeoutMilliseconds: number;
   /** Mean interval between two follow commands to the same member. */
   followMilliseconds: number;
   /** Extra delay of a planned handover, for work in flight at other instances. */
-  settlingMilliseconds: number;
+  otherInstancesDrainMilliseconds: number;
   /** How long a planned handover waits for this instance's own work in flight. */
-  handoverMilliseconds: number;
+  ownDrainTimeoutMilliseconds: number;
 }
 
 interface FailoverControllerOptions {
@@ -65,7 +65,7 @@
   detector: PrimaryFailureDetector;
   times: FailoverTimes;
   random: () => number;
-  nextControlRequestId: () => number;
+  peekNextControlRequestId: () => number;
   /** Sends a command and returns its control request identifier. */
   sendCommand: (command: FailoverCommand, now: number) => number;
   probeAll: (now: number) => void;
@@ -75,9 +75,9 @@
 }
 
 /** Maximum number of promote commands per promotion; the command is idempotent. */
-const PROMOTION_ATTEMPTS = 3;
+const MAXIMUM_PROMOTION_ATTEMPTS = 3;
 /** Maximum number of terms tried before backing off. */
-const FENCE_ATTEMPTS = 3;
+const MAXIMUM_FENCE_ATTEMPTS = 3;
 
 /** Time allowed for a response, in round trips. */
 const ANSWER_TIMEOUT_ROUND_TRIPS = 3;
@@ -115,7 +115,7 @@
   }
 
   function clearSuspicion(now: number): void {
-    const { suspicion } = lifecycle.context();
+    const { suspicion } = lifecycle.getContext();
     if (suspicion) record({ name: 'suspicionCleared', member: suspicion.member });
     lifecycle.send({ type: 'CLEARED' });
     ballot = createBallot();
@@ -125,7 +125,7 @@
   function failAttempt(now: number): void {
     lifecycle.send({
       type: 'FAILED',
-      dueAt: now + coordination.computeBackoffDelay(lifecycle.context().failures),
+      dueAt: now + coordination.computeBackoffDelay(lifecycle.getContext().failures),
     });
     ballot = createBallot();
   }
@@ -142,12 +142,12 @@
 
   /** A planned handover gives other instances time to finish their work at the primary. */
   function computeFailoverDelay({ cause }: Suspicion): number {
-    const settling = cause === 'leaving' ? times.settlingMilliseconds : 0;
-    return coordination.computeStaggerDelay() + settling;
+    const otherInstancesDrain = cause === 'leaving' ? times.otherInstancesDrainMilliseconds : 0;
+    return coordination.computeStaggerDelay() + otherInstancesDrain;
   }
 
   function getSuspicion(): Suspicion {
-    return lifecycle.context().suspicion as Suspicion;
+    return lifecycle.getContext().suspicion as Suspicion;
   }
 
   function onSuspecting(now: number): void {
@@ -156,9 +156,9 @@
       clearSuspicion(now);
       return;
     }
-    if (now < lifecycle.context().dueAt || hasWorkToFinish(suspicion, now)) return;
+    if (now < lifecycle.getContext().dueAt || hasWorkToFinish(suspicion, now)) return;
     if (coordination.hasCompetitor(now)) return;
-    const fromControlRequestId = options.nextControlRequestId();
+    const fromControlRequestId = options.peekNextControlRequestId();
     lifecycle.send({
       type: 'VERIFICATION_STARTED',
       fromControlRequestId,
@@ -169,13 +169,13 @@
 
   function computeAnswerTimeout(member: Member | undefined): number {
     const roundTrip = member?.smoothedRoundTripMilliseconds ?? 0;
-    return Math.max(times.verificationMilliseconds, ANSWER_TIMEOUT_ROUND_TRIPS * roundTrip);
+    return Math.max(times.minimumAnswerTimeoutMilliseconds, ANSWER_TIMEOUT_ROUND_TRIPS * roundTrip);
   }
 
   /** A planned handover waits a limited time for this instance's own work in flight. */
   function hasWorkToFinish({ cause, member }: Suspicion, now: number): boolean {
     if (cause !== 'leaving' || options.countInFlight(member) === 0) return false;
-    return now - suspectedSince < times.handoverMilliseconds;
+    return now - suspectedSince < times.ownDrainTimeoutMilliseconds;
   }
 
   /**
@@ -190,14 +190,14 @@
       clearSuspicion(now);
       return;
     }
-    const { dueAt, fromControlRequestId } = lifecycle.context();
+    const { dueAt, fromControlRequestId } = lifecycle.getContext();
     const fresh = findFenceTargets(suspicion).filter(
       (member) => member.statusQuestionId >= fromControlRequestId,
     );
     const hasMajority = fresh.length >= members.majority();
     const hasTime = now < dueAt;
-    const needsFullWait = suspicion.cause === 'silent' && !isSuspectUnreachable();
-    if (hasTime && (needsFullWait || !hasMajority)) return;
+    const isFullWaitNeeded = suspicion.cause === 'silent' && !isSuspectUnreachable();
+    if (hasTime && (isFullWaitNeeded || !hasMajority)) return;
     fenceAttempts = 0;
     if (hasMajority && !coordination.hasCompetitor(now)) startFence(suspicion, now);
     else failAttempt(now);
@@ -206,11 +206,13 @@
   /** A refused connection means that no delayed response can arrive. */
   function isSuspectUnreachable(): boolean {
     const suspect = members.get(getSuspicion().member);
-    return suspect !== undefined && suspect.consecutiveUnreachable >= DEAD_MEMBER_REFUSALS;
+    return (
+      suspect !== undefined && suspect.consecutiveUnreachable >= DEAD_MEMBER_CONNECTION_REFUSALS
+    );
   }
 
   function startFence(suspicion: Suspicion, now: number): void {
-    const term = coordination.nextTerm();
+    const term = coordination.reserveTerm();
     const targets = findFenceTargets(suspicion);
     const dueAt = now + Math.max(...targets.map(computeAnswerTimeout));
     lifecycle.send({ type: 'VERIFIED', term, dueAt });
@@ -230,7 +232,7 @@
   }
 
   function onFencing(now: number): void {
-    const { term, dueAt } = lifecycle.context();
+    const { term, dueAt } = lifecycle.getContext();
     const majority = members.majority();
     const granted = ballot.grants.size;
     if (granted >= majority && (!canWaitForAllGrants() || ballot.open.size === 0 || now >= dueAt)) {
@@ -240,7 +242,7 @@
     const canStillWin = granted + ballot.open.size >= majority && now < dueAt;
     if (canStillWin) return;
     record({ name: 'fenceFailed', term, granted, needed: majority });
-    if (canFenceAgain(now)) startFence(getSuspicion(), now);
+    if (takeFenceAttempt(now)) startFence(getSuspicion(), now);
     else failAttempt(now);
   }
 
@@ -248,9 +250,9 @@
    * Lost responses are retried immediately with a higher term, because members that granted this one
    * can no longer follow the old primary. A refusal indicates a competitor and requires back-off.
    */
-  function canFenceAgain(now: number): boolean {
+  function takeFenceAttempt(now: number): boolean {
     fenceAttempts += 1;
-    if (ballot.hasRefusal || fenceAttempts >= FENCE_ATTEMPTS) return false;
+    if (ballot.hasRefusal || fenceAttempts >= MAXIMUM_FENCE_ATTEMPTS) return false;
     return (
       !isDraining &&
       !coordination.hasCompetitor(now) &&
@@ -263,7 +265,7 @@
   }
 
   function startPromotion(now: number): void {
-    const { term } = lifecycle.context();
+    const { term } = lifecycle.getContext();
     const granted = [...ballot.grants.keys()];
     record({ name: 'termFenced', term, members: granted });
     const candidate = chooseCandidate({
@@ -276,7 +278,7 @@
     lifecycle.send({
       type: 'FENCED',
       candidate,
-      dueAt: now + PROMOTION_ATTEMPTS * times.questionTimeoutMilliseconds,
+      dueAt: now + MAXIMUM_PROMOTION_ATTEMPTS * times.questionTimeoutMilliseconds,
     });
     sendPromotion(now);
   }
@@ -288,7 +290,7 @@
   }
 
   function sendPromotion(now: number): void {
-    const { candidate, term } = lifecycle.context();
+    const { candidate, term } = lifecycle.getContext();
     promotionAttempts += 1;
     const questionId = sendCommand({ type: 'promote', member: candidate, term }, now);
     ballot.open.set(questionId, candidate);
@@ -296,24 +298,24 @@
   }
 
   function onPromoting(now: number): void {
-    const { term, candidate, dueAt } = lifecycle.context();
+    const { term, candidate, dueAt } = lifecycle.getContext();
     const primary = members.get(candidate);
     if (primary?.status?.role === 'primary' && primary.status.currentTerm === term) {
       finishPromotion(primary, now);
       return;
     }
-    if (members.highestTerm() > term || now >= dueAt) failAttempt(now);
+    if (members.getHighestTerm() > term || now >= dueAt) failAttempt(now);
     else if (isPromotionLate(primary, now)) sendPromotion(now);
   }
 
   /** The promote command is idempotent, so it is resent before its timeout to shorten the outage. */
   function isPromotionLate(candidate: Member | undefined, now: number): boolean {
-    if (promotionAttempts >= PROMOTION_ATTEMPTS) return false;
+    if (promotionAttempts >= MAXIMUM_PROMOTION_ATTEMPTS) return false;
     return now - promotionSentAt >= computeAnswerTimeout(candidate);
   }
 
   function finishPromotion(primary: Member, now: number): void {
-    const { term } = lifecycle.context();
+    const { term } = lifecycle.getContext();
     record({
       name: 'primaryPromoted',
       term,
@@ -337,7 +339,7 @@
 
   /** Limits checks in the phase `steady`, because status responses are frequent. */
   function canSkipCheck(now: number): boolean {
-    const isSettled = lifecycle.phase() === 'steady' && members.primary() === checkedPrimary;
+    const isSettled = lifecycle.getPhase() === 'steady' && members.primary() === checkedPrimary;
     return isSettled && now < checkedAt + times.checkMilliseconds;
   }
 
@@ -346,9 +348,9 @@
     checkedAt = now;
     coordination.observeTerms(now);
     checkedPrimary = members.primary();
-    phaseHandlers[lifecycle.phase()](now);
+    phaseHandlers[lifecycle.getPhase()](now);
     learnPrimary();
-    if (lifecycle.phase() !== 'fencing') attachment.attach(now);
+    if (lifecycle.getPhase() !== 'fencing') attachment.attach(now);
   }
 
   function learnPrimary(): void {
@@ -361,7 +363,7 @@
 
   function onAnswered(answer: FailoverAnswer, now: number): void {
     if (answer.kind === 'fence' && ballot.open.delete(answer.questionId)) {
-      const isGrant = answer.status.currentTerm === lifecycle.context().term;
+      const isGrant = answer.status.currentTerm === lifecycle.getContext().term;
       if (isGrant) ballot.grants.set(answer.member, answer.status);
     }
     if (answer.kind === 'follow') {
@@ -390,16 +392,16 @@
       detector.onPaused(now);
       lifecycle.send({ type: 'PAUSED' });
     },
-    onInstances: coordination.onInstances,
+    onInstancesChanged: coordination.onInstancesChanged,
     onDrainStarted: () => {
       isDraining = true;
     },
-    phase: lifecycle.phase,
-    holdsWrites: () => {
-      const phase = lifecycle.phase();
+    getPhase: lifecycle.getPhase,
+    isBlockingWrites: () => {
+      const phase = lifecycle.getPhase();
       if (phase === 'fencing' || phase === 'promoting') return true;
       return phase !== 'steady' && getSuspicion().cause === 'leaving';
     },
-    nextDueAt: () => lifecycle.context().dueAt,
+    getNextDueAt: () => lifecycle.getContext().dueAt,
   };
 }
--- a/packages/core/src/lib/failover/failoverCoordination.ts
+++ b/packages/core/src/lib/failover/failoverCoordination.ts
@@ -3,13 +3,13 @@
 
 /** Coordinates failovers between instances that detect the same failure. @internal */
 export interface FailoverCoordination {
-  onInstances: (liveInstances: string[]) => void;
+  onInstancesChanged: (liveInstances: string[]) => void;
   /** Returns the delay before this instance starts a failover, in milliseconds. */
   computeStaggerDelay: () => number;
   /** Returns the delay after a failed failover, in milliseconds. */
   computeBackoffDelay: (failures: number) => number;
   /** Returns a term above all that this instance has seen or proposed. */
-  nextTerm: () => number;
+  reserveTerm: () => number;
   /** Detects terms fenced by other instances. */
   observeTerms: (now: number) => void;
   /** Whether another instance has recently started a failover, which must not be undone. */
@@ -50,7 +50,7 @@
 
   /** Instances with the same list agree on the order, which changes with the term. */
   function computeStaggerDelay(): number {
-    const key = `${group}/${members.highestTerm()}`;
+    const key = `${group}/${members.getHighestTerm()}`;
     const names = liveInstances.includes(instance) ? liveInstances : [...liveInstances, instance];
     const rank = orderByRendezvous({ key, names }).indexOf(instance);
     return (rank + random() / 4) * times.staggerMilliseconds;
@@ -62,24 +62,24 @@
     return times.backoffMilliseconds * factor * (0.25 + random());
   }
 
-  function nextTerm(): number {
-    highestProposed = Math.max(members.highestTerm(), highestProposed) + 1;
+  function reserveTerm(): number {
+    highestProposed = Math.max(members.getHighestTerm(), highestProposed) + 1;
     return highestProposed;
   }
 
   function observeTerms(now: number): void {
-    const term = members.highestTerm();
+    const term = members.getHighestTerm();
     if (term > highestSeen && highestSeen > 0 && term > highestProposed) competitorSeenAt = now;
     highestSeen = Math.max(highestSeen, term);
   }
 
   return {
-    onInstances: (names) => {
+    onInstancesChanged: (names) => {
       liveInstances = names;
     },
     computeStaggerDelay,
     computeBackoffDelay,
-    nextTerm,
+    reserveTerm,
     observeTerms,
     hasCompetitor: (now) => now - competitorSeenAt < times.competitorMilliseconds,
   };
--- a/packages/core/src/lib/failover/failoverMachine.ts
+++ b/packages/core/src/lib/failover/failoverMachine.ts
@@ -132,8 +132,8 @@
 
 /** Current state of the failover and its transitions. @internal */
 export interface FailoverLifecycle {
-  phase: () => FailoverPhase;
-  context: () => FailoverContext;
+  getPhase: () => FailoverPhase;
+  getContext: () => FailoverContext;
   send: (event: FailoverEvent) => void;
 }
 
@@ -142,8 +142,8 @@
   let [snapshot]: [SnapshotFrom<typeof failoverMachine>, unknown] =
     initialTransition(failoverMachine);
   return {
-    phase: () => snapshot.value,
-    context: () => snapshot.context,
+    getPhase: () => snapshot.value,
+    getContext: () => snapshot.context,
     send: (event) => {
       [snapshot] = transition(failoverMachine, snapshot, event);
     },
--- a/packages/core/src/lib/failover/memberAttachment.ts
+++ b/packages/core/src/lib/failover/memberAttachment.ts
@@ -38,14 +38,14 @@
     members
       .list()
       .filter((member) => member !== primary && now >= member.nextFollowAt)
-      .filter((member) => needsToFollow(member, primary))
+      .filter((member) => isFollowNeeded(member, primary))
       .forEach((member) => attachTo(primary, member, now));
   }
 
   return { attach };
 }
 
-function needsToFollow(member: Member, primary: Member): boolean {
+function isFollowNeeded(member: Member, primary: Member): boolean {
   if (!member.status) return false;
   const term = termOf(primary);
   if (member.status.currentTerm < term) return true;
--- a/packages/core/src/lib/failover/primaryFailureDetector.ts
+++ b/packages/core/src/lib/failover/primaryFailureDetector.ts
@@ -13,7 +13,7 @@
   /** How long a member may have a higher term than the primary. */
   strandedMilliseconds: number;
   /** Delay before a leaving primary is replaced, until all instances have been informed. */
-  handoverGraceMilliseconds: number;
+  handoverAnnouncementMilliseconds: number;
 }
 
 /** @internal */
@@ -31,7 +31,7 @@
 /** Consecutive failed requests before a member is considered silent; one may be a lost packet. */
 const SILENT_MEMBER_FAILURES = 2;
 /** Consecutive refused connections before a member's process is considered dead. @internal */
-export const DEAD_MEMBER_REFUSALS = 3;
+export const DEAD_MEMBER_CONNECTION_REFUSALS = 3;
 /** Shortens the suspicion time for dead processes: a slow or lossy link does not refuse connections. */
 const DEAD_MEMBER_FACTOR = 0.5;
 const MAXIMUM_EXTENSIONS = 3;
@@ -59,20 +59,25 @@
 export function createPrimaryFailureDetector(options: {
   members: MemberTable;
   times: DetectionTimes;
-  oldestHeldWrite: () => HeldWrite | undefined;
+  getOldestUnconfirmedWrite: () => HeldWrite | undefined;
 }): PrimaryFailureDetector {
-  const { members, times, oldestHeldWrite } = options;
+  const { members, times, getOldestUnconfirmedWrite } = options;
   const conditionSince = new Map<SuspicionCause, number>();
   let extensions = 0;
 
-  function hasLasted(cause: SuspicionCause, holds: boolean, time: number, now: number): boolean {
-    if (!holds) {
+  function updateCondition(
+    cause: SuspicionCause,
+    isMet: boolean,
+    durationMilliseconds: number,
+    now: number,
+  ): boolean {
+    if (!isMet) {
       conditionSince.delete(cause);
       return false;
     }
     const start = conditionSince.get(cause) ?? now;
     conditionSince.set(cause, start);
-    return now - start >= time;
+    return now - start >= durationMilliseconds;
   }
 
   function findAnswering(list: readonly Member[], now: number): Member[] {
@@ -93,7 +98,7 @@
   }
 
   function getSilenceTimeout({ consecutiveUnreachable }: Member): number {
-    const isDead = consecutiveUnreachable >= DEAD_MEMBER_REFUSALS;
+    const isDead = consecutiveUnreachable >= DEAD_MEMBER_CONNECTION_REFUSALS;
     return times.suspicionMilliseconds * (isDead ? DEAD_MEMBER_FACTOR : 1);
   }
 
@@ -112,7 +117,7 @@
   }
 
   function isIsolatedFromGroup(primary: Member, now: number): boolean {
-    const write = oldestHeldWrite();
+    const write = getOldestUnconfirmedWrite();
     if (!write || write.term !== termOf(primary)) return false;
     const timeout = times.unconfirmedMilliseconds * EXTENSION_FACTOR ** extensions;
     if (now - write.completedAt < timeout) return false;
@@ -143,7 +148,7 @@
   function findSuspicion(now: number): Suspicion | undefined {
     const primary = members.primary();
     const isAbsent = !primary && hasMajority(findAnswering(members.list(), now));
-    if (hasLasted('absent', isAbsent, times.suspicionMilliseconds, now)) {
+    if (updateCondition('absent', isAbsent, times.suspicionMilliseconds, now)) {
       return { cause: 'absent', member: '' };
     }
     return primary && findFault(primary, now);
@@ -151,9 +156,14 @@
 
   function findFault(primary: Member, now: number): Suspicion | undefined {
     const { name, database } = primary;
-    const isLeaving = hasLasted('leaving', database.leaving, times.handoverGraceMilliseconds, now);
+    const isLeaving = updateCondition(
+      'leaving',
+      database.leaving,
+      times.handoverAnnouncementMilliseconds,
+      now,
+    );
     const stranded = findStranded(primary, now);
-    const isStranded = hasLasted('stranded', !!stranded, times.strandedMilliseconds, now);
+    const isStranded = updateCondition('stranded', !!stranded, times.strandedMilliseconds, now);
     if (isPrimarySilent(primary, now)) return { cause: 'silent', member: name };
     if (isIsolatedFromGroup(primary, now)) return { cause: 'unconfirmed', member: name };
     if (isLeaving && hasSuccessor(primary, now)) return { cause: 'leaving', member: name };
@@ -190,7 +200,7 @@
       if (waitedMilliseconds < times.unconfirmedMilliseconds) extensions = 0;
     },
     onPrimaryChanged: () => {
-      if (oldestHeldWrite()) extensions = Math.min(extensions + 1, MAXIMUM_EXTENSIONS);
+      if (getOldestUnconfirmedWrite()) extensions = Math.min(extensions + 1, MAXIMUM_EXTENSIONS);
     },
   };
 }
--- a/packages/core/src/test/engine.test.ts
+++ b/packages/core/src/test/engine.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest';
-import { createScenario, databaseOf } from './engineScenario';
+import { createScenario, createDatabase } from './engineScenario';
 
 describe('requests', () => {
   it('rejects a request at its deadline if it was never sent', () => {
@@ -59,7 +59,7 @@
     scenario.runUntil(() => writes[0]?.sentTo.length === 1);
     scenario.changeDatabases((databases) => databases.filter(({ name }) => name !== 'a1'));
     scenario.run(100);
-    scenario.changeDatabases((databases) => [databaseOf('a1'), ...databases]);
+    scenario.changeDatabases((databases) => [createDatabase('a1'), ...databases]);
     scenario.run(100);
     expect(scenario.instance().engine.view(scenario.now()).running).toBe(0);
     const after = scenario.write();
--- a/packages/core/src/test/engineScenario.ts
+++ b/packages/core/src/test/engineScenario.ts
@@ -102,7 +102,7 @@
   let requestCount = 0;
   let statusRequestCount = 0;
   let databases: Database[] = MEMBER_NAMES.map((name) => ({
-    ...databaseOf(name),
+    ...createDatabase(name),
     ...options.databases?.[name],
   }));
   const instances = new Map(
@@ -138,7 +138,7 @@
   }
 
   function deliverTo(name: string, receive: (recipient: FakeMember) => void): void {
-    const delay = linkDelay() + (name === options.slowMember ? SLOW_LINK_MILLISECONDS : 0);
+    const delay = computeLinkDelay() + (name === options.slowMember ? SLOW_LINK_MILLISECONDS : 0);
     schedule(delay, () => {
       const recipient = member(name);
       if (recipient.state === 'frozen') recipient.pendingDeliveries.push(() => receive(recipient));
@@ -152,7 +152,7 @@
     resumed.pendingDeliveries.splice(0).forEach((deliver) => deliver());
   }
 
-  function linkDelay(): number {
+  function computeLinkDelay(): number {
     return LINK_MILLISECONDS * (0.5 + random());
   }
 
@@ -250,15 +250,15 @@
     if (isLost() || target.unreachable.has(name)) return;
     deliverTo(name, (database) => {
       if (database.state === 'down') {
-        schedule(linkDelay(), () =>
+        schedule(computeLinkDelay(), () =>
           handle(target, { type: 'questionFailed', questionId, reason: 'unreachable' }),
         );
         return;
       }
       const isAccepted = apply(database);
-      const status = statusOf(database);
+      const status = createStatus(database);
       if (isLost()) return;
-      schedule(linkDelay(), () => {
+      schedule(computeLinkDelay(), () => {
         if (isAccepted) handle(target, { type: 'statusAnswered', questionId, status });
         else handle(target, { type: 'questionFailed', questionId, reason: 'refused' });
       });
@@ -273,7 +273,7 @@
     requestHandles.get(requestId)?.sentTo.push(name);
     deliverTo(name, (database) => {
       const result = execute(database, requestId);
-      schedule(linkDelay(), () => finish(target, requestId, attempt, result));
+      schedule(computeLinkDelay(), () => finish(target, requestId, attempt, result));
     });
   }
 
@@ -303,7 +303,9 @@
       Object.assign(database, { loseAnswers: database.loseAnswers - 1 });
       return { kind: 'lost', answerStarted: false };
     }
-    return isWrite ? { kind: 'completed', position: endOf(database.log) } : { kind: 'completed' };
+    return isWrite
+      ? { kind: 'completed', position: getLogEnd(database.log) }
+      : { kind: 'completed' };
   }
 
   function replicate(replica: FakeMember): void {
@@ -359,7 +361,10 @@
     return now - startedAt;
   }
 
-  function send(draft: Partial<EngineRequest> & { access: EngineRequest['access'] }, at = 'p1') {
+  function send(
+    draft: Partial<EngineRequest> & { access: EngineRequest['access'] },
+    instanceName = 'p1',
+  ) {
     requestCount += 1;
     const requestId = draft.requestId ?? `${draft.access}-${requestCount}`;
     const request: EngineRequest = {
@@ -376,7 +381,7 @@
     };
     const created = { requestId, outcome: undefined, sentTo: [], seen: [], access: draft.access };
     requestHandles.set(requestId, created);
-    handle(instance(at), { type: 'requestArrived', request });
+    handle(instance(instanceName), { type: 'requestArrived', request });
     return created as RequestHandle;
   }
 
@@ -402,8 +407,8 @@
     promote(member(name), term);
   }
 
-  function recordsOf(name: EngineRecord['name'], at?: string): EngineRecord[] {
-    const targets = at ? [instance(at)] : [...instances.values()];
+  function recordsOf(name: EngineRecord['name'], instanceName?: string): EngineRecord[] {
+    const targets = instanceName ? [instance(instanceName)] : [...instances.values()];
     return targets.flatMap(({ records }) => records.filter((record) => record.name === name));
   }
 
@@ -426,7 +431,7 @@
   return {
     member,
     instance,
-    handle: (event: EngineEvent, at?: string) => handle(instance(at), event),
+    handle: (event: EngineEvent, instanceName?: string) => handle(instance(instanceName), event),
     run,
     runUntil,
     pause,
@@ -436,10 +441,10 @@
     recordsOf,
     changeDatabase,
     changeDatabases,
-    write: (draft: Partial<EngineRequest> = {}, at?: string) =>
-      send({ access: 'write', ...draft }, at),
-    read: (draft: Partial<EngineRequest> = {}, at?: string) =>
-      send({ access: 'read', ...draft }, at),
+    write: (draft: Partial<EngineRequest> = {}, instanceName?: string) =>
+      send({ access: 'write', ...draft }, instanceName),
+    read: (draft: Partial<EngineRequest> = {}, instanceName?: string) =>
+      send({ access: 'read', ...draft }, instanceName),
     send,
     primaries: () => [...members.values()].filter(({ role }) => role === 'primary'),
     /** Number of status requests sent by all instances. */
@@ -465,14 +470,14 @@
   };
 }
 
-export function databaseOf(name: string): Database {
+export function createDatabase(name: string): Database {
   const address = { host: '127.0.0.1', port: 3306, dataCentre: `dc-${name}` };
   return { name, ...address, connectionLimit: 30, slots: 5, leaving: false };
 }
 
-function statusOf(database: FakeMember): MemberStatus {
+function createStatus(database: FakeMember): MemberStatus {
   const { name, role, currentTerm, log, following } = database;
-  const end = endOf(log);
+  const end = getLogEnd(log);
   const termStarts = log.reduce<TermStart[]>(
     (starts, { term }, index) =>
       starts.at(-1)?.term === term ? starts : [...starts, { term, start: index }],
@@ -482,7 +487,7 @@
   return following ? { ...status, following } : status;
 }
 
-function endOf(log: Entry[]): Position {
+function getLogEnd(log: Entry[]): Position {
   return { term: log.at(-1)?.term ?? 0, index: log.length };
 }
 
