--- a/packages/core/src/lib/engine/controlRequestTable.ts
+++ b/packages/core/src/lib/engine/controlRequestTable.ts
@@ -11,7 +11,7 @@
 
 /** Control requests that have not completed. @internal */
 export interface ControlRequestTable {
-  /** Requests with this identifier or a higher one have not been sent yet. */
+  /** Returns the identifier that the next request will get, without reserving it. */
   peekNextId: () => number;
   add: (request: Omit<ControlRequest, 'questionId'>) => ControlRequest;
   /** Removes and returns the request; undefined if it has completed or timed out. */
--- a/packages/core/src/lib/engine/groupEngine.ts
+++ b/packages/core/src/lib/engine/groupEngine.ts
@@ -25,7 +25,7 @@
 };
 
 const MINIMUM_TIMER_MILLISECONDS = 1;
-/** A timer later than this share of the suspicion time means that the process was paused. */
+/** A timer overdue by more than this fraction of the suspicion time shows a pause of the process. */
 const PAUSE_DETECTION_FACTOR = 0.5;
 /** Connection shares change over time without events, so they are recalculated periodically. */
 const SHARE_REFRESH_MILLISECONDS = 500;
@@ -39,6 +39,8 @@
 const COMPETITOR_PRECEDENCE_FACTOR = 0.5;
 const BACKOFF_DELAY_FACTOR = 0.5;
 const FOLLOW_INTERVAL_FACTOR = 0.5;
+
+/** Fixed delays of a planned handover. */
 const HANDOVER_ANNOUNCEMENT_MILLISECONDS = 1_000;
 const OTHER_INSTANCES_DRAIN_MILLISECONDS = 250;
 const OWN_DRAIN_TIMEOUT_MILLISECONDS = 5_000;
@@ -193,8 +195,9 @@
   }
 
   /**
-   * Detects a pause of this process by a late timer and restarts failure detection, so that a
-   * healthy primary is not deposed because its responses went unread.
+   * Starts failure detection at the first event, and restarts it after a pause of this process
+   * (shown by a late timer), so that a healthy primary is not deposed because its responses went
+   * unread.
    */
   function detectPause(now: number): void {
     if (startedAt === undefined) {
@@ -230,6 +233,10 @@
     setTimer(Math.min(pollAt, getNextDueAt(now)), now);
   }
 
+  /**
+   * An overdue failover waits for responses, and each response or probe timer checks it again; a
+   * timer of its own would fire every millisecond.
+   */
   function getNextDueAt(now: number): number {
     const oldest = controlRequests.getOldestSentAt();
     const timeoutAt = oldest === undefined ? Infinity : oldest + policy.questionTimeoutMilliseconds;
--- a/packages/core/src/lib/engine/history.ts
+++ b/packages/core/src/lib/engine/history.ts
@@ -1,7 +1,8 @@
 import type { MemberStatus, Position, TermStart } from '@wisterialift/schema';
 
 /**
- * Whether a log with these term starts contains the entry: its index must lie within its own term.
+ * Whether a log with these term starts contains the entry: the log's entry at that index must have the
+ * same term.
  *
  * @internal
  */
@@ -11,7 +12,7 @@
 }
 
 /**
- * Whether the member has applied the acknowledged entry.
+ * Whether the member has applied the entry at the position.
  *
  * Comparing positions alone is unsafe: an isolated primary of a later term can have a higher
  * position without containing the entry.
--- a/packages/core/src/lib/engine/memberCapacity.ts
+++ b/packages/core/src/lib/engine/memberCapacity.ts
@@ -29,13 +29,13 @@
   getAllowedConnections: (member: Member) => number;
 }
 
-/** Share of a database's connections kept free for status requests and new instances. */
+/** Fraction of a database's connections kept free for status requests and new instances. */
 const RESERVED_FRACTION = 0.25;
 
 /**
  * Tracks connections and running statements per member.
  *
- * A transaction keeps its connection between statements but uses a slot only while one runs.
+ * A transaction keeps its connection between statements but counts as running only while one runs.
  *
  * @internal
  */
@@ -63,6 +63,7 @@
     return created;
   }
 
+  /** Keeps the usage of removed databases, whose statements may still be running. */
   function onDatabasesChanged(changed: Database[]): void {
     changed.forEach((database) => {
       const known = usageByMember.get(database.name);
--- a/packages/core/src/lib/engine/memberTable.ts
+++ b/packages/core/src/lib/engine/memberTable.ts
@@ -12,6 +12,7 @@
   status: MemberStatus | undefined;
   /** Identifier of that request; -1 before the first response. */
   statusQuestionId: number;
+  /** Send time of that request. */
   statusAskedAt: number;
   /**
    * Send time of the newest answered request. The arrival time is unreliable, since a response can
@@ -19,17 +20,20 @@
    */
   newestAnsweredRequestSentAt: number | undefined;
   smoothedRoundTripMilliseconds: number;
-  /** Start of the current silence: the last response, the first request or the end of a pause. */
+  /**
+   * Start of the current silence: when the last answered request was sent, or when the member was
+   * added or failure detection restarted.
+   */
   silentSince: number;
-  /** Consecutive requests that failed since the last response. */
+  /** Consecutive failed requests since the start of the current silence. */
   failedQuestions: number;
-  /** Consecutive requests that failed because the connection was refused. */
+  /** Consecutive failed requests whose connection was refused. */
   consecutiveUnreachable: number;
   /** When its log end last changed. */
   logAdvancedAt: number;
-  /** No statements are sent before this time, after a refused connection. */
+  /** No statements are sent before this time, set after a refused connection. */
   avoidUntil: number;
-  /** Its claim to be primary is ignored in responses to earlier requests. */
+  /** Responses to requests before this one cannot identify the member as primary. */
   primaryClaimValidFromRequestId: number;
   /** Time of the newest staleness sample whose position the member has applied. */
   freshAsOf: number;
@@ -49,10 +53,13 @@
   resetSilences: (now: number) => void;
   /** Highest term recorded by a majority; undefined before a majority has responded. */
   getMajorityTerm: () => number | undefined;
-  /** The member that reports itself as primary of that term or a higher one. */
+  /**
+   * The member that reports itself as primary of the highest term; undefined if that term is below
+   * the one recorded by a majority.
+   */
   primary: () => Member | undefined;
   getHighestTerm: () => number;
-  /** Ignores the member's claim to be primary in responses to requests before the given one. */
+  /** Ignores the member's claim to be primary in responses to requests before `firstValidRequestId`. */
   rejectPrimaryClaimBefore: (name: string, firstValidRequestId: number) => void;
 }
 
@@ -75,7 +82,8 @@
 /**
  * Creates the table of member state.
  *
- * Responses that arrive out of order are ignored, so that a member's log end and term never go back.
+ * The status in a response that arrives out of order is ignored, so that log end and term never go
+ * back; the response still counts as a sign of life.
  *
  * @internal
  */
@@ -165,7 +173,7 @@
     return best;
   }
 
-  /** Cached because every statement reads the primary. */
+  /** Recalculates the cached primary and majority term, which every statement reads. */
   function refreshPrimary(): void {
     majorityTerm = findMajorityTerm();
     primary = findPrimary();
--- a/packages/core/src/lib/engine/messages.ts
+++ b/packages/core/src/lib/engine/messages.ts
@@ -18,6 +18,7 @@
   caller: string;
   /** Relative share of the queue when it is full. */
   weight: number;
+  /** Named by the caller; selects settings of the request and labels its metrics. */
   kind: string;
   access: Access;
   /** Position that the caller's session must observe, if any. */
@@ -26,7 +27,9 @@
   maximumStalenessMilliseconds: number;
   /** Milliseconds on the engine's clock. */
   arrivedAt: number;
+  /** Milliseconds on the engine's clock. */
   deadlineAt: number;
+  /** Higher goes first among the requests of one caller. */
   priority: number;
   isRepeatable: boolean;
   /** Request id of the BEGIN; set only for access `commit`. */
@@ -79,6 +82,7 @@
   | { type: 'abandonStatement'; requestId: string; attempt: number; reportsLoss?: true }
   /** Complete the request; for `done`, send the response of the last attempt to the caller. */
   | { type: 'answerRequest'; requestId: string; outcome: Outcome }
+  /** Request the member's status. */
   | { type: 'askStatus'; questionId: number; member: string }
   /** Make a member record `term`; it refuses unless `term` is above its recorded term. */
   | { type: 'fence'; questionId: number; member: string; term: number }
@@ -86,6 +90,7 @@
   | { type: 'promote'; questionId: number; member: string; term: number }
   /** Make a member replicate from the primary of `term`. */
   | { type: 'follow'; questionId: number; member: string; term: number; primary: string }
+  /** Announce a newly promoted primary to the other instances. */
   | { type: 'publishPrimary'; term: number; primary: string }
   /** Send `timerFired` at this time; replaces the previous timer. */
   | { type: 'setTimer'; at: number }
@@ -96,7 +101,8 @@
  *
  * - `silent`: the primary does not respond, while a majority of the other members does.
  * - `unconfirmed`: the primary responds, but its writes are not replicated.
- * - `absent`: a majority responds, but no member is primary of its term.
+ * - `absent`: a majority responds, but no member reports itself as primary of the majority's term or
+ *   a higher one.
  * - `leaving`: the primary is being taken out of service.
  * - `stranded`: a member has recorded a higher term and can no longer follow the primary.
  *
@@ -106,6 +112,7 @@
 
 /** A decision to be logged and counted in metrics. @public */
 export type EngineRecord =
+  /** `member` is empty for the cause `absent`. */
   | { name: 'primarySuspected'; member: string; cause: SuspicionCause }
   | { name: 'suspicionCleared'; member: string }
   | { name: 'termFenced'; term: number; members: string[] }
@@ -113,6 +120,10 @@
   | { name: 'primaryPromoted'; term: number; member: string; silentMilliseconds: number }
   | { name: 'primaryLearned'; term: number; member: string }
   | { name: 'memberAttached'; term: number; member: string }
+  /**
+   * `by` is `staleness` if the member was within the accepted staleness. Otherwise the member has
+   * applied the minimum position: `token` if the request carries a session position, else `floor`.
+   */
   | { name: 'readRouted'; member: string; isReplica: boolean; by: 'token' | 'floor' | 'staleness' }
   | { name: 'writeConfirmed'; waitedMilliseconds: number }
   | { name: 'requestRetried'; requestId: string; attempt: number; reason: string }
@@ -120,7 +131,7 @@
 
 /** Limits and intervals of an engine; all times in milliseconds. @public */
 export interface EnginePolicy {
-  /** Interval between status requests to a member while no request waits for it. */
+  /** Interval between status requests to a member while no request needs a newer status. */
   probeIntervalMilliseconds: number;
   /** Probe interval for groups that are idle and healthy. */
   idleProbeIntervalMilliseconds: number;
@@ -128,8 +139,12 @@
   questionTimeoutMilliseconds: number;
   /** A member that has not responded for this long is considered silent. */
   suspicionMilliseconds: number;
-  /** Minimum interval between status requests while a write awaits confirmation. */
+  /**
+   * Minimum interval between status requests while a write awaits confirmation or a request awaits
+   * its minimum position.
+   */
   confirmIntervalMilliseconds: number;
+  /** Maximum waiting requests; applies to reads and to other requests separately. */
   queueLength: number;
   /** Maximum ratio of retries to first attempts. */
   retryShare: number;
@@ -163,6 +178,7 @@
   group: string;
   term: number;
   primary: string | undefined;
+  /** Phase of the failover; `looking` verifies a suspicion with new status requests. */
   phase: string;
   queued: number;
   running: number;
@@ -177,6 +193,7 @@
   applied: Position | undefined;
   /** Time since the last answered request was sent; undefined before the first response. */
   silentMilliseconds: number | undefined;
+  /** Maximum connections of this instance to the member. */
   connectionShare: number;
   running: number;
   isLeaving: boolean;
--- a/packages/core/src/lib/engine/probeIntervals.ts
+++ b/packages/core/src/lib/engine/probeIntervals.ts
@@ -12,7 +12,7 @@
 
 /** A group is idle once this long has passed since its last request. */
 const IDLE_TIMEOUT_MILLISECONDS = 3_000;
-/** Refused probes in a row after which an unreachable member is no longer probed faster. */
+/** Consecutive refused connections after which a member is no longer probed faster. */
 const MAXIMUM_FAST_PROBES = 5;
 const FAST_PROBE_FACTOR = 0.5;
 
@@ -41,11 +41,11 @@
     return members.list().every((member) => isHealthy(member, term));
   }
 
-  /** Faster probes tell a dead process from a transient fault sooner. */
   function isNewlyUnreachable({ consecutiveUnreachable }: Member): boolean {
     return consecutiveUnreachable > 0 && consecutiveUnreachable < MAXIMUM_FAST_PROBES;
   }
 
+  /** Faster probes tell a dead process from a transient fault sooner. */
   function getInterval(member: Member, now: number): number {
     if (isNewlyUnreachable(member)) return probeIntervalMilliseconds * FAST_PROBE_FACTOR;
     return isIdleAndHealthy(now) ? idleProbeIntervalMilliseconds : probeIntervalMilliseconds;
--- a/packages/core/src/lib/engine/requestCompletion.ts
+++ b/packages/core/src/lib/engine/requestCompletion.ts
@@ -10,7 +10,7 @@
   /** Removes the request without reporting an outcome. */
   remove: (request: TrackedRequest) => void;
   reject: (request: TrackedRequest, reason: NotRunReason, now: number) => void;
-  /** Completes a request whose connection was lost before the response arrived. */
+  /** Completes a request whose attempt ended before the response arrived. */
   completeAfterLoss: (request: TrackedRequest) => void;
 }
 
@@ -48,21 +48,20 @@
 
   /** Completes a request that gets no further attempt. */
   function reject(request: TrackedRequest, reason: NotRunReason, now: number): void {
-    const retryAfterMilliseconds = computeRetryAfter(reason, request, now);
+    const delayMilliseconds = computeRetryAfter(reason, request, now);
     record({
       name: 'requestRejected',
       requestId: request.requestId,
       reason,
-      retryAfterMilliseconds: Math.ceil(retryAfterMilliseconds),
+      retryAfterMilliseconds: Math.ceil(delayMilliseconds),
     });
-    if (!request.hasPossiblyRun)
-      complete(request, createNotRunOutcome(reason, retryAfterMilliseconds));
-    else complete(request, createOutcomeOfPossiblyRun(request, 'deadline', retryAfterMilliseconds));
+    if (!request.hasPossiblyRun) complete(request, createNotRunOutcome(reason, delayMilliseconds));
+    else complete(request, createOutcomeOfPossiblyRun(request, 'deadline', delayMilliseconds));
   }
 
   /**
-   * Returns the outcome of a request that may have run. A write is never reported as `notRun`: the
-   * caller would repeat it although it may be stored.
+   * Returns the outcome of a request that may have run. Reads and BEGIN are reported as `discarded`:
+   * they may be repeated. Writes are reported as `unknown`, since they may be stored.
    */
   function createOutcomeOfPossiblyRun(
     request: TrackedRequest,
--- a/packages/core/src/lib/engine/requestContext.ts
+++ b/packages/core/src/lib/engine/requestContext.ts
@@ -15,11 +15,16 @@
   requests: RequestTable;
   /** Reads waiting for a member. */
   reads: AdmissionQueue<TrackedRequest>;
-  /** Writes and transactions waiting for the primary. */
+  /** Writes and BEGIN waiting for the primary. */
   changes: AdmissionQueue<TrackedRequest>;
   /** Requests waiting for the floor (minimum position) of their round. */
   awaitingFloor: Set<TrackedRequest>;
+  /**
+   * Rounds of status requests, each of which finds the floor: a position that covers every write
+   * acknowledged before the round.
+   */
   rounds: FloorRounds;
+  /** Completed writes that a majority has not confirmed yet. */
   unconfirmedWrites: ConfirmationTracker;
   getQueue: (request: TrackedRequest) => AdmissionQueue<TrackedRequest>;
   record: (record: EngineRecord) => void;
@@ -36,7 +41,7 @@
   members: MemberTable;
   places: MemberCapacity;
   peekNextControlRequestId: () => number;
-  /** Whether writes are held back during a failover. */
+  /** Whether writes are kept in the queue during a failover. */
   holdsWrites: () => boolean;
   /** Called when a write is confirmed, with the time since its completion. */
   onConfirmed: (waitedMilliseconds: number) => void;
--- a/packages/core/src/lib/engine/requestFlow.ts
+++ b/packages/core/src/lib/engine/requestFlow.ts
@@ -21,9 +21,12 @@
   onTransactionFinished: (transactionId: string) => void;
   /** Updates floors, staleness, confirmations and routes after a status response. */
   onAnswered: (member: Member, now: number) => void;
-  /** Ends attempts at members that no longer respond. */
+  /**
+   * Cancels reads and BEGIN at members that do not respond, and completes writes there as `unknown`
+   * once their primary has been replaced.
+   */
   cancelSilentAttempts: (now: number) => void;
-  /** Completes requests that have reached their deadline. */
+  /** Completes requests that have reached their deadline, and schedules a dispatch for due wake-ups. */
   expire: (now: number) => void;
   /** Sends waiting requests to members with free capacity. */
   dispatch: (now: number) => void;
@@ -31,7 +34,7 @@
   getNextDueAt: () => number;
   /** Returns the write that has waited longest for confirmation. */
   getOldestUnconfirmedWrite: () => HeldWrite | undefined;
-  /** Number of statements and transactions of this instance at the member. */
+  /** Open transactions plus running statements at the member; a running COMMIT counts in both. */
   countInFlight: (member: string) => number;
   countQueued: () => number;
 }
@@ -42,8 +45,6 @@
 /**
  * Processes requests from arrival to completion: queueing, dispatch, confirmation and deadlines.
  *
- * The cost per statement is a few map and heap operations and one pass over the members.
- *
  * @internal
  */
 export function createRequestFlow(options: RequestContextOptions): RequestFlow {
@@ -88,7 +89,7 @@
     else awaitFloor(request, now);
   }
 
-  /** Adds the request to a floor round that starts now or later. */
+  /** Joins a floor round whose status requests are all sent after the arrival of the request. */
   function awaitFloor(request: TrackedRequest, now: number): void {
     const waiting = awaitingFloor.size + getQueue(request).length();
     if (waiting >= policy.queueLength) {
@@ -113,6 +114,7 @@
     if (offer.evicted) reject(offer.evicted, 'overloaded', now);
   }
 
+  /** COMMIT uses the connection of its transaction, and belongs to the term in which that began. */
   function onCommitArrived(request: TrackedRequest, now: number): void {
     const transaction = attempts.getTransaction(request);
     if (!transaction) {
@@ -174,6 +176,7 @@
     scheduleDispatch();
   }
 
+  /** `onConfirmed` is not called for a write that `survived` in the log of a later primary. */
   function onSettled({ write, settlement }: SettledWrite, now: number): void {
     const request = requests.get(write.requestId);
     if (!request) return;
--- a/packages/core/src/lib/engine/requestTable.ts
+++ b/packages/core/src/lib/engine/requestTable.ts
@@ -7,10 +7,10 @@
 /**
  * State of an open request.
  *
- * - `awaitingFloor`: the minimum position for the read is not known yet.
+ * - `awaitingFloor`: the minimum position for the read or transaction is not known yet.
  * - `queued`: waiting for a suitable member with free capacity.
  * - `running`: an attempt has been sent.
- * - `held`: the database has completed the write, but a majority has not confirmed it.
+ * - `awaitingConfirmation`: the database has completed the write, but a majority has not confirmed it.
  *
  * @internal
  */
@@ -25,16 +25,20 @@
   member: Member | undefined;
   /** Term of that member when the attempt was sent. */
   term: number;
+  /** Start of the last attempt. */
   startedAt: number;
   round: FloorRound | undefined;
-  /** Whether an attempt was sent and not refused. */
+  /**
+   * Whether an earlier attempt ended without a known result, or completed but is unconfirmed.
+   */
   hasPossiblyRun: boolean;
-  /** Whether an attempt was aborted because its member stopped responding. */
+  /** Whether an attempt was cancelled because its member stopped responding. */
   hasCancelledAttempt: boolean;
   /** Member that failed the last attempt. */
   avoid: string | undefined;
   /** Until this time, a read waits for a replica instead of using the primary. */
   patienceUntil: number | undefined;
+  /** Position of the log entry that the completed attempt wrote, if known. */
   position: Position | undefined;
 }
 
@@ -68,7 +72,7 @@
   const due = createHeap<DueRequest>((left, right) => left.at - right.at);
 
   function add(request: EngineRequest): TrackedRequest {
-    // Listed one by one because spreading is several times slower, and this runs for every statement.
+    // Listed one by one because spreading is slower, and this runs for every statement.
     const tracked: TrackedRequest = {
       requestId: request.requestId,
       caller: request.caller,
--- a/packages/core/src/lib/engine/statementAttempts.ts
+++ b/packages/core/src/lib/engine/statementAttempts.ts
@@ -25,21 +25,25 @@
 /** @internal */
 export interface StatementAttempts {
   run: (request: TrackedRequest, member: Member, now: number) => void;
+  /** Credits the retry budget for a new request. */
   recordArrival: (now: number) => void;
   onFinished: (finished: AttemptResult, now: number) => void;
   onTransactionFinished: (transactionId: string) => void;
   getTransaction: (request: TrackedRequest) => OpenTransaction | undefined;
-  /** Ends the running attempt; a response that arrives later is dropped. */
+  /** Ends the running attempt and frees its capacity; a response that arrives later is dropped. */
   cancelAttempt: (request: TrackedRequest, now: number) => void;
-  /** Ends attempts at members for which `isSilent` returns true. */
+  /**
+   * Cancels reads and BEGIN at members for which `isSilent` returns true, and completes writes there
+   * as `unknown` once their primary has been replaced.
+   */
   cancelSilentAttempts: (isSilent: (member: Member) => boolean, now: number) => void;
-  /** First control request whose response can confirm the newest held write. */
+  /** First control request whose response can confirm the newest unconfirmed write. */
   getFirstConfirmingRequestId: () => number;
-  /** Number of statements and transactions of this instance at the member. */
+  /** Open transactions plus running statements at the member; a running COMMIT counts in both. */
   countInFlight: (member: string) => number;
 }
 
-/** A member that refused a connection receives no statements for this long. */
+/** No statements are sent to a member for this long after it refused a connection. */
 const MEMBER_AVOIDANCE_MILLISECONDS = 25;
 /** Retries allowed regardless of the share of first attempts. */
 const MINIMUM_RETRIES = 10;
@@ -136,7 +140,10 @@
     });
   }
 
-  /** An error from the database changes no data, so no confirmation is needed. */
+  /**
+   * A statement that fails changes no data; it completes as `done` and the caller receives the
+   * database's error.
+   */
   function onDatabaseError(request: TrackedRequest): void {
     complete(request, createDoneOutcome(undefined));
   }
@@ -231,8 +238,11 @@
   }
 
   /**
-   * Aborts a read at most once: a long read can make a busy database look frozen, and aborting it
-   * at each member in turn would never let it finish.
+   * Cancels an attempt at a read or BEGIN; its capacity is freed when the result `lost` arrives, and
+   * the request is then retried if that is safe.
+   *
+   * Done at most once per request: a long read can make a busy database look frozen, and cancelling
+   * it at each member in turn would never let it finish.
    */
   function cancelReadForRetry(request: TrackedRequest): void {
     if (request.hasCancelledAttempt) return;
@@ -259,7 +269,7 @@
     onTransactionFinished,
     getTransaction: ({ transactionId }) => transactions.get(transactionId ?? ''),
     cancelAttempt,
-    cancelSilentAttempts: cancelSilentAttempts,
+    cancelSilentAttempts,
     getFirstConfirmingRequestId: () => firstConfirmingRequestId,
     countInFlight,
   };
--- a/packages/core/src/lib/engine/statusPoller.ts
+++ b/packages/core/src/lib/engine/statusPoller.ts
@@ -22,10 +22,10 @@
   poll: (demand: StatusDemand, now: number) => number;
 }
 
-/** Limit of concurrent status requests to a member on demand. */
+/** Maximum open status requests to a member, including repeats of late ones. */
 const MAXIMUM_OPEN_REQUESTS = 3;
-/** Limit of concurrent status requests for floors and confirmations. */
-const MAXIMUM_OPEN_REQUESTS_FOR_NEW_DEMAND = 2;
+/** Maximum open requests when a newer response is needed before the open request completes. */
+const MAXIMUM_OPEN_FOR_DEMAND = 2;
 /** A response is late after this many round trips, but not before the minimum below. */
 const LATE_ROUND_TRIPS = 3;
 const MINIMUM_LATENESS_MILLISECONDS = 20;
@@ -109,8 +109,7 @@
     if (member.failedQuestions >= FAILURES_BEFORE_PROBES_ONLY) return false;
     const open = requests.countOpen(member.name);
     if (open >= MAXIMUM_OPEN_REQUESTS) return false;
-    if (demand.fromControlRequestId > schedule.lastRequestId)
-      return open < MAXIMUM_OPEN_REQUESTS_FOR_NEW_DEMAND;
+    if (demand.fromControlRequestId > schedule.lastRequestId) return open < MAXIMUM_OPEN_FOR_DEMAND;
     return demand.isContinuous && (open === 0 || isLate(member, schedule, now));
   }
 
