--- a/packages/core/src/lib/failover/failoverController.ts
+++ b/packages/core/src/lib/failover/failoverController.ts
@@ -22,7 +22,7 @@
   onInstancesChanged: (liveInstances: string[]) => void;
   onDrainStarted: () => void;
   getPhase: () => FailoverPhase;
-  /** Whether writes are held back because the primary is about to be replaced. */
+  /** Whether writes are kept in the queue because the primary is about to be replaced. */
   isBlockingWrites: () => boolean;
   getNextDueAt: () => number;
 }
@@ -47,7 +47,7 @@
 export interface FailoverTimes extends CoordinationTimes {
   /** Interval between checks for a failed primary in the phase `steady`. */
   checkMilliseconds: number;
-  /** Minimum time to wait for responses before fencing. */
+  /** Lower limit of the response timeout during verification, fencing and promotion. */
   minimumAnswerTimeoutMilliseconds: number;
   questionTimeoutMilliseconds: number;
   /** Mean interval between two follow commands to the same member. */
@@ -70,7 +70,7 @@
   sendCommand: (command: FailoverCommand, now: number) => number;
   probeAll: (now: number) => void;
   emit: (effect: EngineEffect) => void;
-  /** Number of statements and transactions of this instance at the member. */
+  /** Open transactions plus running statements at the member; a running COMMIT counts in both. */
   countInFlight: (member: string) => number;
 }
 
@@ -88,9 +88,10 @@
 /**
  * Creates the controller that replaces a failed or leaving primary.
  *
- * Prevents two primaries from both acknowledging writes: a member grants each term once, so at most
- * one instance obtains a majority, which from then on refuses the log of lower terms. A lost response
- * is not a grant: the member may have granted the term to another instance.
+ * Prevents two primaries from both acknowledging writes: a member grants each term to one instance
+ * only and then refuses the log of lower terms, so at most one instance obtains a majority for a term
+ * and the old primary can no longer get writes acknowledged. A lost response is not a grant: the
+ * member may have granted the term to another instance.
  *
  * @internal
  */
@@ -247,6 +248,8 @@
   }
 
   /**
+   * Counts the failed fence and returns whether to start another one.
+   *
    * Lost responses are retried immediately with a higher term, because members that granted this one
    * can no longer follow the old primary. A refusal indicates a competitor and requires back-off.
    */
--- a/packages/core/src/lib/failover/failoverCoordination.ts
+++ b/packages/core/src/lib/failover/failoverCoordination.ts
@@ -8,11 +8,11 @@
   computeStaggerDelay: () => number;
   /** Returns the delay after a failed failover, in milliseconds. */
   computeBackoffDelay: (failures: number) => number;
-  /** Returns a term above all that this instance has seen or proposed. */
+  /** Reserves and returns a term above all that this instance has seen or proposed. */
   reserveTerm: () => number;
   /** Detects terms fenced by other instances. */
   observeTerms: (now: number) => void;
-  /** Whether another instance has recently started a failover, which must not be undone. */
+  /** Whether another instance recently fenced a term; this instance then does not fence. */
   hasCompetitor: (now: number) => boolean;
 }
 
--- a/packages/core/src/lib/failover/failoverMachine.ts
+++ b/packages/core/src/lib/failover/failoverMachine.ts
@@ -5,7 +5,10 @@
 /** @internal */
 export interface Suspicion {
   cause: SuspicionCause;
-  /** The suspected primary; for `stranded` the member that has recorded a higher term. */
+  /**
+   * The suspected primary; for `stranded` the member that has recorded a higher term; empty for
+   * `absent`.
+   */
   member: string;
 }
 
@@ -14,7 +17,7 @@
   suspicion: Suspicion | undefined;
   /** Deadline of the current phase. */
   dueAt: number;
-  /** Only responses to this control request or later ones count in the current phase. */
+  /** First control request whose response counts for the verification. */
   fromControlRequestId: number;
   /** Term being fenced. */
   term: number;
@@ -29,6 +32,7 @@
   | { type: 'CLEARED' }
   | { type: 'PAUSED' }
   | { type: 'VERIFICATION_STARTED'; fromControlRequestId: number; dueAt: number }
+  /** Starts a fence, after the verification or again with a higher term. */
   | { type: 'VERIFIED'; term: number; dueAt: number }
   | { type: 'FENCED'; candidate: string; dueAt: number }
   | { type: 'PROMOTED' }
@@ -127,7 +131,7 @@
   },
 });
 
-/** @internal */
+/** Shown to operators; `looking` is the verification. @internal */
 export type FailoverPhase = 'steady' | 'suspecting' | 'looking' | 'fencing' | 'promoting';
 
 /** Current state of the failover and its transitions. @internal */
--- a/packages/core/src/lib/failover/primaryFailureDetector.ts
+++ b/packages/core/src/lib/failover/primaryFailureDetector.ts
@@ -12,7 +12,7 @@
   unconfirmedMilliseconds: number;
   /** How long a member may have a higher term than the primary. */
   strandedMilliseconds: number;
-  /** Delay before a leaving primary is replaced, until all instances have been informed. */
+  /** Delay before a leaving primary is replaced, for all instances to learn that it is leaving. */
   handoverAnnouncementMilliseconds: number;
 }
 
@@ -65,6 +65,7 @@
   const conditionSince = new Map<SuspicionCause, number>();
   let extensions = 0;
 
+  /** Tracks since when the condition is met and returns whether that is at least the duration. */
   function updateCondition(
     cause: SuspicionCause,
     isMet: boolean,
