--- a/packages/core/src/test/engine.test.ts
+++ b/packages/core/src/test/engine.test.ts
@@ -41,6 +41,7 @@
   });
 
   it('keeps the connection of a transaction until it is finished', () => {
+    // One connection for statements: the other is reserved, and new instances use only one.
     const scenario = createScenario({ databases: { a1: { connectionLimit: 2 } } });
     const begin = scenario.send({ access: 'transaction' });
     scenario.runUntil(() => begin.outcome !== undefined);
--- a/packages/core/src/test/engineScenario.ts
+++ b/packages/core/src/test/engineScenario.ts
@@ -54,7 +54,7 @@
   isPaused: boolean;
   pendingEvents: EngineEvent[];
   records: EngineRecord[];
-  /** Members that do not receive its control requests. */
+  /** Members whose control requests from this instance are dropped without a response. */
   unreachable: Set<string>;
   /** Members that do not receive its fence commands. */
   lostFences: Set<string>;
@@ -91,7 +91,8 @@
 /**
  * Runs engines against three simulated databases in deterministic 1 ms steps.
  *
- * `a1` is the primary of term 1; each member is in its own data centre.
+ * `a1` is the primary of term 1; each member is in its own data centre, and all instances are in that
+ * of `b1`.
  */
 export function createScenario(options: ScenarioOptions = {}) {
   const random = createRandom(options.seed ?? 1);
@@ -236,6 +237,7 @@
   function promote(database: FakeMember, term: number): boolean {
     if (database.currentTerm !== term) return false;
     if (database.role === 'primary') return true;
+    // A member that followed a primary of this term must not become a second one.
     if (database.lastFollowedTerm === term) return false;
     database.log.push({ term, requestId: '', appendedAt: now });
     Object.assign(database, { role: 'primary', following: undefined });
--- a/packages/core/src/test/failover.test.ts
+++ b/packages/core/src/test/failover.test.ts
@@ -155,7 +155,7 @@
     },
   );
 
-  it('does not count a lost response to a fence as a grant', () => {
+  it('does not count an unanswered fence command as a grant', () => {
     // Guards against split brain: p1 fences only b1 and p2 only c1, so neither has a majority.
     const scenario = createScenario({ instances: ['p1', 'p2'] });
     scenario.instance('p1').lostFences.add('c1');
--- a/packages/core/src/test/idleGroup.test.ts
+++ b/packages/core/src/test/idleGroup.test.ts
@@ -12,12 +12,14 @@
   it('is probed at the idle interval until the next request', () => {
     const scenario = createScenario();
     scenario.run(5_000);
+    // Three members, each probed every 1 s plus or minus 25 %.
     expect(countStatusRequests(scenario, 10_000)).toBeLessThanOrEqual(42);
     scenario.read();
+    // Three members, each probed every 100 ms plus or minus 25 %.
     expect(countStatusRequests(scenario, 2_000)).toBeGreaterThanOrEqual(45);
   });
 
-  it.each(['frozen', 'down'] as const)('replaces its primary when it is %s', (state) => {
+  it.each(['frozen', 'down'] as const)('replaces a primary that is %s', (state) => {
     const scenario = createScenario();
     scenario.run(5_000);
     scenario.member('a1').state = state;
