--- a/packages/platform/src/index.ts
+++ b/packages/platform/src/index.ts
@@ -1,4 +1,4 @@
-export { type PlatformObject } from './lib/answers';
+export { type PlatformObject } from './lib/responses';
 export {
   createPlatformClient,
   type PlatformClient,
@@ -12,8 +12,8 @@
 export { PlatformUnavailableError } from './lib/errors/platformUnavailableError';
 export { VersionConflictError } from './lib/errors/versionConflictError';
 export {
-  createHttpExchange,
-  type HttpAnswer,
-  type HttpCall,
-  type HttpExchange,
-} from './lib/httpExchange';
+  createHttpClient,
+  type HttpResponse,
+  type HttpRequest,
+  type HttpClient,
+} from './lib/httpClient';
--- a/packages/platform/src/lib/errors/platformAnswerError.ts
+++ b/packages/platform/src/lib/errors/platformAnswerError.ts
@@ -1,4 +1,4 @@
 import { PlatformError } from './platformError';
 
-/** The platform answered with something that the client does not understand. @public */
+/** The platform sent a response with an unexpected status or an invalid body. @public */
 export class PlatformAnswerError extends PlatformError {}
--- a/packages/platform/src/lib/errors/platformError.ts
+++ b/packages/platform/src/lib/errors/platformError.ts
@@ -1,4 +1,4 @@
-/** Base of the errors of the platform's client. @public */
+/** Base class of the platform client's errors. @public */
 export class PlatformError extends Error {
   constructor(message: string, options?: ErrorOptions) {
     super(message, options);
--- a/packages/platform/src/lib/errors/platformUnavailableError.ts
+++ b/packages/platform/src/lib/errors/platformUnavailableError.ts
@@ -1,14 +1,10 @@
 import { PlatformError } from './platformError';
 
-/**
- * The platform gave no answer in time, or said that it is down.
- *
- * @public
- */
+/** The platform did not respond in time, or responded with 5xx or 429. @public */
 export class PlatformUnavailableError extends PlatformError {
   /**
-   * Whether the call may have taken effect or may still do so. False only where the connection was
-   * never established or the platform itself refused the call.
+   * Whether the request may take effect, now or later. False only for reads, and if no connection was
+   * established or the platform rejected the request.
    */
   readonly mayHaveApplied: boolean;
 
--- a/packages/platform/src/lib/errors/versionConflictError.ts
+++ b/packages/platform/src/lib/errors/versionConflictError.ts
@@ -1,12 +1,12 @@
 import { PlatformError } from './platformError';
 
-/** A conditional update named a version that is not the present one; nothing was changed. @public */
+/** A conditional update expected another version than the current one; nothing was changed. @public */
 export class VersionConflictError extends PlatformError {
-  /** 0 where the object does not exist. */
-  readonly presentVersion: number;
+  /** 0 if the object does not exist. */
+  readonly currentVersion: number;
 
-  constructor(message: string, options: { presentVersion: number }) {
+  constructor(message: string, options: { currentVersion: number }) {
     super(message);
-    this.presentVersion = options.presentVersion;
+    this.currentVersion = options.currentVersion;
   }
 }
--- a/packages/platform/src/lib/platformClient.ts
+++ b/packages/platform/src/lib/platformClient.ts
@@ -1,63 +1,63 @@
 import type { Instance } from '@wisterialift/schema';
 import type { z } from 'zod';
-import { instancesAnswerSchema, platformObjectSchema, versionAnswerSchema } from './answers';
-import type { PlatformObject } from './answers';
-import { createHttpExchange } from './httpExchange';
-import type { HttpAnswer, HttpCall } from './httpExchange';
+import { instancesResponseSchema, platformObjectSchema, versionResponseSchema } from './responses';
+import type { PlatformObject } from './responses';
+import { createHttpClient } from './httpClient';
+import type { HttpResponse, HttpRequest } from './httpClient';
 import { PlatformAnswerError } from './errors/platformAnswerError';
 import { PlatformUnavailableError } from './errors/platformUnavailableError';
 import { VersionConflictError } from './errors/versionConflictError';
 
 /** @public */
 export interface PlatformClientOptions {
-  /** Base address of the object API, for example `http://127.0.0.1:7000`. */
+  /** Base URL of the object API, for example `http://127.0.0.1:7000`. */
   address: string;
-  /** Time within which a call that does not wait is answered. */
+  /** Timeout of a request, beyond the wait of a watch. */
   timeoutMilliseconds: number;
 }
 
-/** Identity of an object. @public */
+/** Identifies an object. @public */
 export interface PlatformObjectKey {
   kind: string;
   name: string;
 }
 
-/** A conditional update; `expectedVersion` 0 asks that the object does not exist yet. @public */
+/** A conditional update; `expectedVersion` 0 creates the object. @public */
 export interface PlatformUpdate extends PlatformObjectKey {
   expectedVersion: number;
   value: unknown;
 }
 
-/** A call that waits for a newer version. @public */
+/** A long poll for a newer version. @public */
 export interface PlatformWatch extends PlatformObjectKey {
-  /** Version that is known already; 0 for none. */
+  /** Known version; 0 for none. */
   after: number;
   waitMilliseconds: number;
-  /** Ends the wait; the call then throws PlatformUnavailableError. */
+  /** Aborts the wait; the call then throws PlatformUnavailableError. */
   signal?: AbortSignal;
 }
 
 /**
- * Calls of the platform. Each throws PlatformUnavailableError where there is no answer and
- * PlatformAnswerError where the answer cannot be understood.
+ * Client of the platform's object API. Every call throws PlatformUnavailableError if the platform is
+ * unavailable and PlatformAnswerError if the response is invalid.
  *
  * @public
  */
 export interface PlatformClient {
-  /** @returns undefined where there is no such object. */
+  /** @returns undefined if the object does not exist. */
   getObject: (key: PlatformObjectKey) => Promise<PlatformObject | undefined>;
   /**
    * @returns the new version.
-   * @throws VersionConflictError where the present version is not the expected one.
+   * @throws VersionConflictError if the current version is not the expected one.
    */
   putObject: (update: PlatformUpdate) => Promise<number>;
-  /** @returns the object once its version is above `after`, or undefined when the time is over. */
+  /** @returns the object once its version is above `after`, or undefined after `waitMilliseconds`. */
   watchObject: (watch: PlatformWatch) => Promise<PlatformObject | undefined>;
-  /** @returns the list of instances, which lags. */
+  /** @returns the list of instances, which may be stale. */
   listInstances: () => Promise<Instance[]>;
   registerInstance: (instance: Instance) => Promise<void>;
   removeInstance: (name: string) => Promise<void>;
-  /** Closes the connections that are kept open. */
+  /** Closes the idle connections. */
   close: () => void;
 }
 
@@ -72,54 +72,56 @@
  */
 export function createPlatformClient(options: PlatformClientOptions): PlatformClient {
   const { address, timeoutMilliseconds } = options;
-  const exchange = createHttpExchange({ address });
+  const httpClient = createHttpClient({ address });
 
-  function send(call: Omit<HttpCall, 'timeoutMilliseconds'>): Promise<HttpAnswer> {
-    return exchange.send({ ...call, timeoutMilliseconds });
+  function send(call: Omit<HttpRequest, 'timeoutMilliseconds'>): Promise<HttpResponse> {
+    return httpClient.send({ ...call, timeoutMilliseconds });
   }
 
   async function getObject(key: PlatformObjectKey): Promise<PlatformObject | undefined> {
-    const answer = await send({ method: 'GET', path: objectPath(key) });
+    const answer = await send({ method: 'GET', path: buildObjectPath(key) });
     if (answer.code === 404) return undefined;
-    return parseAnswer(platformObjectSchema, answer);
+    return parseResponse(platformObjectSchema, answer);
   }
 
   async function putObject(update: PlatformUpdate): Promise<number> {
     const { expectedVersion, value } = update;
     const body = { expectedVersion, value };
-    const answer = await send({ method: 'PUT', path: objectPath(update), body });
-    if (answer.code !== 409) return parseAnswer(versionAnswerSchema, answer).version;
-    const { version: presentVersion } = parseBody(versionAnswerSchema, answer);
+    const answer = await send({ method: 'PUT', path: buildObjectPath(update), body });
+    if (answer.code !== 409) return parseResponse(versionResponseSchema, answer).version;
+    const { version: currentVersion } = parseBody(versionResponseSchema, answer);
     throw new VersionConflictError(
-      `${objectPath(update)} has version ${presentVersion}, not ${expectedVersion}`,
-      { presentVersion },
+      `${buildObjectPath(update)} has version ${currentVersion}, not ${expectedVersion}`,
+      { currentVersion },
     );
   }
 
   async function watchObject(watch: PlatformWatch): Promise<PlatformObject | undefined> {
     const { after, waitMilliseconds, signal } = watch;
-    const answer = await exchange.send({
+    const answer = await httpClient.send({
       method: 'GET',
-      path: `${objectPath(watch)}?after=${after}&waitMilliseconds=${waitMilliseconds}`,
+      path: `${buildObjectPath(watch)}?after=${after}&waitMilliseconds=${waitMilliseconds}`,
       timeoutMilliseconds: waitMilliseconds + timeoutMilliseconds,
       signal,
     });
     if (answer.code === 304) return undefined;
-    return parseAnswer(platformObjectSchema, answer);
+    return parseResponse(platformObjectSchema, answer);
   }
 
   async function listInstances(): Promise<Instance[]> {
     const answer = await send({ method: 'GET', path: '/instances' });
-    return parseAnswer(instancesAnswerSchema, answer).instances;
+    return parseResponse(instancesResponseSchema, answer).instances;
   }
 
   async function registerInstance(instance: Instance): Promise<void> {
     const path = `/instances/${encodeURIComponent(instance.name)}`;
-    checkCode(await send({ method: 'PUT', path, body: instance }));
+    requireSuccess(await send({ method: 'PUT', path, body: instance }));
   }
 
   async function removeInstance(name: string): Promise<void> {
-    checkCode(await send({ method: 'DELETE', path: `/instances/${encodeURIComponent(name)}` }));
+    requireSuccess(
+      await send({ method: 'DELETE', path: `/instances/${encodeURIComponent(name)}` }),
+    );
   }
 
   return {
@@ -129,33 +131,33 @@
     listInstances,
     registerInstance,
     removeInstance,
-    close: exchange.close,
+    close: httpClient.close,
   };
 }
 
-function objectPath({ kind, name }: PlatformObjectKey): string {
+function buildObjectPath({ kind, name }: PlatformObjectKey): string {
   return `/objects/${encodeURIComponent(kind)}/${encodeURIComponent(name)}`;
 }
 
-function parseAnswer<Schema extends z.ZodType>(
+function parseResponse<Schema extends z.ZodType>(
   schema: Schema,
-  answer: HttpAnswer,
+  answer: HttpResponse,
 ): z.infer<Schema> {
-  checkCode(answer);
+  requireSuccess(answer);
   return parseBody(schema, answer);
 }
 
-function parseBody<Schema extends z.ZodType>(schema: Schema, answer: HttpAnswer): z.infer<Schema> {
+function parseBody<Schema extends z.ZodType>(
+  schema: Schema,
+  answer: HttpResponse,
+): z.infer<Schema> {
   const result = schema.safeParse(answer.body);
   if (result.success) return result.data;
-  throw new PlatformAnswerError('the answer has an unexpected form', { cause: result.error });
+  throw new PlatformAnswerError('response does not match the schema', { cause: result.error });
 }
 
-/**
- * A 5xx may come from something between here and the platform that did not see the end of the
- * call, so the call may have run; 429 says that it was not looked at.
- */
-function checkCode({ code }: HttpAnswer): void {
+/** Throws for any status but 2xx. After a 5xx, possibly from a proxy, the request may have been applied. */
+function requireSuccess({ code }: HttpResponse): void {
   if (code >= 200 && code < 300) return;
   if (code >= 500 || code === 429) {
     throw new PlatformUnavailableError(`the platform answered ${code}`, {
