--- a/packages/platform/src/lib/errors/platformUnavailableError.ts
+++ b/packages/platform/src/lib/errors/platformUnavailableError.ts
@@ -3,8 +3,8 @@
 /** The platform did not respond in time, or responded with 5xx or 429. @public */
 export class PlatformUnavailableError extends PlatformError {
   /**
-   * Whether the request may take effect, now or later. False only for reads, and if no connection was
-   * established or the platform rejected the request.
+   * Whether the request may take effect, now or later. False if no connection was established or the
+   * platform rejected the request.
    */
   readonly mayHaveApplied: boolean;
 
--- a/packages/platform/src/lib/errors/versionConflictError.ts
+++ b/packages/platform/src/lib/errors/versionConflictError.ts
@@ -1,6 +1,6 @@
 import { PlatformError } from './platformError';
 
-/** A conditional update expected another version than the current one; nothing was changed. @public */
+/** The expected version of an update is not the current one; nothing was changed. @public */
 export class VersionConflictError extends PlatformError {
   /** 0 if the object does not exist. */
   readonly currentVersion: number;
--- a/packages/platform/src/lib/platformClient.ts
+++ b/packages/platform/src/lib/platformClient.ts
@@ -156,7 +156,7 @@
   throw new PlatformAnswerError('response does not match the schema', { cause: result.error });
 }
 
-/** Throws for any status but 2xx. After a 5xx, possibly from a proxy, the request may have been applied. */
+/** Throws for any status but 2xx. A 5xx may come from a proxy after the request was applied. */
 function requireSuccess({ code }: HttpResponse): void {
   if (code >= 200 && code < 300) return;
   if (code >= 500 || code === 429) {
--- a/packages/platform/src/lib/responses.ts
+++ b/packages/platform/src/lib/responses.ts
@@ -17,7 +17,7 @@
 /** Response to a conditional update, whether stored or in conflict. */
 export const versionResponseSchema = z.object({ version: versionSchema });
 
-/** The list of instances; strips unknown fields, since newer versions may be listed during an upgrade. */
+/** The list of instances; strips unknown fields, which newer versions may add during an upgrade. */
 export const instancesResponseSchema = z.object({
   instances: z.array(z.object(instanceSchema.shape)),
 });
