--- a/packages/peer/src/lib/client/callPeer.ts
+++ b/packages/peer/src/lib/client/callPeer.ts
@@ -3,7 +3,7 @@
 import { PeerAnswerError } from '../errors/peerAnswerError';
 import { PeerUnavailableError } from '../errors/peerUnavailableError';
 
-/** A generated method with one request and one answer. */
+/** A generated method of a unary call. */
 type UnaryMethod<Request, Answer> = (
   request: Request,
   metadata: Metadata,
@@ -11,7 +11,7 @@
   callback: (error: ServiceError | null, answer: Answer) => void,
 ) => ClientUnaryCall;
 
-/** Codes that say nothing of the message itself. */
+/** Status codes of failed delivery, as opposed to a rejected message. */
 const UNAVAILABLE_CODES = new Set([status.UNAVAILABLE, status.DEADLINE_EXCEEDED, status.CANCELLED]);
 
 /**
@@ -28,13 +28,13 @@
   const deadline = Date.now() + deadlineMilliseconds;
   return new Promise((resolve, reject) => {
     method(request, new Metadata(), { deadline }, (error, answer) => {
-      if (error) reject(describeFailure(error));
+      if (error) reject(toPeerError(error));
       else resolve(answer);
     });
   });
 }
 
-function describeFailure(error: ServiceError): Error {
+function toPeerError(error: ServiceError): Error {
   if (UNAVAILABLE_CODES.has(error.code)) {
     return new PeerUnavailableError(error.message, { cause: error });
   }
--- a/packages/peer/src/lib/client/peerClient.ts
+++ b/packages/peer/src/lib/client/peerClient.ts
@@ -3,7 +3,7 @@
 import { z } from 'zod';
 import { PeerServiceClient } from '../../generated/wisterialift/peer/v1/peer';
 import { PeerAnswerError } from '../errors/peerAnswerError';
-import { decodeAge } from '../ageOnWire';
+import { decodeAge } from '../ageEncoding';
 import { MESSAGE_LIMIT_BYTES } from '../peerMessages';
 import type {
   PeerConfiguration,
@@ -18,50 +18,49 @@
 
 /** @public */
 export interface PeerClientOptions {
-  /** Time within which a peer answers. */
+  /** Deadline of each call. */
   deadlineMilliseconds: number;
-  /** Mutual TLS; calls go in the clear without it. */
+  /** Mutual TLS; calls are unencrypted without it. */
   tls?: PeerTls;
 }
 
 /**
- * Calls of other instances by their `host:port`. Each throws PeerUnavailableError where there is no
- * answer within the deadline and PeerAnswerError where the message is refused or the answer cannot
- * be understood.
+ * Client of other instances by `host:port`. Every call throws PeerUnavailableError without an answer
+ * within the deadline and PeerAnswerError if the message is rejected or the answer is invalid.
  *
  * @public
  */
 export interface PeerClient {
-  /** @returns the number in force at the peer afterwards. */
+  /** @returns the active number at the peer afterwards. */
   announceConfiguration: (
     address: string,
     configurationObject: ConfigurationObject,
   ) => Promise<number>;
-  /** Asks for the configuration of the peer if its number is above the given one. */
+  /** Fetches the peer's configuration if its number is above the given one. */
   fetchConfiguration: (address: string, aboveNumber: number) => Promise<PeerConfiguration>;
-  /** Asks for the instances that the peer knows. */
+  /** Fetches the instances that the peer knows. */
   fetchInstances: (address: string) => Promise<PeerInstances>;
   announcePrimary: (address: string, published: PublishedPrimary) => Promise<void>;
-  /** @param instance - name of the instance that leaves. */
+  /** @param instance - name of the instance that is about to stop. */
   announceLeaving: (address: string, instance: string) => Promise<void>;
   ping: (address: string) => Promise<PeerStatus>;
   /** Closes the connections to all other addresses. */
   retainAddresses: (addresses: readonly string[]) => void;
-  /** Uses other keys from now on, over new connections. @throws PeerError where they cannot be used. */
+  /** Reconnects with other keys. @throws PeerError if they are invalid. */
   replaceKeys: (tls: PeerTls) => void;
   close: () => void;
 }
 
-/** Leaves out fields that this version does not know, as a peer may be of a newer one. */
+/** Strips unknown fields, which a peer with a newer version may send. */
 const instancesSchema = z.array(z.object(instanceSchema.shape));
 
-/** The list that a peer last sent. */
-interface KnownList {
+/** The last list received from a peer. */
+interface CachedList {
   digest: string;
   instances: Instance[];
 }
 
-/** Pauses between attempts to connect again; in between, calls fail at once. */
+/** Short reconnect backoff, since calls fail at once during it. */
 const CHANNEL_OPTIONS = {
   'grpc.initial_reconnect_backoff_ms': 100,
   'grpc.min_reconnect_backoff_ms': 100,
@@ -72,10 +71,9 @@
 };
 
 /**
- * Creates a client for calls of other instances. A connection is opened by the first call to an
- * address and kept.
+ * Creates a client for other instances. The first call to an address opens a lasting connection.
  *
- * @throws PeerError where the keys cannot be used.
+ * @throws PeerError if the keys are invalid.
  *
  * @example
  * const peers = createPeerClient({ deadlineMilliseconds: 1_000 });
@@ -85,14 +83,14 @@
  */
 export function createPeerClient(options: PeerClientOptions): PeerClient {
   const services = new Map<string, PeerServiceClient>();
-  const lists = new Map<string, KnownList>();
+  const cachedLists = new Map<string, CachedList>();
   if (options.tls) checkKeys(options.tls);
   let callCredentials = createCallCredentials(options.tls);
   const { deadlineMilliseconds } = options;
 
-  function serviceAt(address: string): PeerServiceClient {
-    const known = services.get(address);
-    if (known) return known;
+  function getService(address: string): PeerServiceClient {
+    const existing = services.get(address);
+    if (existing) return existing;
     const service = new PeerServiceClient(address, callCredentials, CHANNEL_OPTIONS);
     services.set(address, service);
     return service;
@@ -101,14 +99,14 @@
   function closeAddress(address: string): void {
     services.get(address)?.close();
     services.delete(address);
-    lists.delete(address);
+    cachedLists.delete(address);
   }
 
   async function announceConfiguration(
     address: string,
     configurationObject: ConfigurationObject,
   ): Promise<number> {
-    const service = serviceAt(address);
+    const service = getService(address);
     const { number } = await callPeer({
       method: service.announceConfiguration.bind(service),
       request: {
@@ -124,7 +122,7 @@
     address: string,
     aboveNumber: number,
   ): Promise<PeerConfiguration> {
-    const service = serviceAt(address);
+    const service = getService(address);
     const { number, configurationObjectJson, ageMilliseconds } = await callPeer({
       method: service.fetchConfiguration.bind(service),
       request: { aboveNumber },
@@ -137,35 +135,35 @@
     };
   }
 
-  /** A list that has not changed is not sent again; the one that came before stands for it. */
+  /** Sends the digest of the cached list, which the peer does not send again if unchanged. */
   async function fetchInstances(address: string): Promise<PeerInstances> {
-    const service = serviceAt(address);
-    const known = lists.get(address);
+    const service = getService(address);
+    const cached = cachedLists.get(address);
     const { instancesJson, ageMilliseconds, digest } = await callPeer({
       method: service.fetchInstances.bind(service),
-      request: { knownDigest: known?.digest ?? '' },
+      request: { knownDigest: cached?.digest ?? '' },
       deadlineMilliseconds,
     });
-    const isKnown = known !== undefined && known.digest === digest;
-    const instances = isKnown ? known.instances : parseInstances(instancesJson);
-    lists.set(address, { digest, instances });
+    const isUnchanged = cached !== undefined && cached.digest === digest;
+    const instances = isUnchanged ? cached.instances : parseInstances(instancesJson);
+    cachedLists.set(address, { digest, instances });
     return { instances, ageMilliseconds: decodeAge(ageMilliseconds) };
   }
 
   async function announcePrimary(address: string, published: PublishedPrimary): Promise<void> {
-    const service = serviceAt(address);
+    const service = getService(address);
     const method = service.announcePrimary.bind(service);
     await callPeer({ method, request: published, deadlineMilliseconds });
   }
 
   async function announceLeaving(address: string, instance: string): Promise<void> {
-    const service = serviceAt(address);
+    const service = getService(address);
     const method = service.announceLeaving.bind(service);
     await callPeer({ method, request: { instance }, deadlineMilliseconds });
   }
 
   async function ping(address: string): Promise<PeerStatus> {
-    const service = serviceAt(address);
+    const service = getService(address);
     return callPeer({ method: service.ping.bind(service), request: {}, deadlineMilliseconds });
   }
 
@@ -196,7 +194,7 @@
 function parseInstances(text: string): Instance[] {
   const result = instancesSchema.safeParse(parseJson(text));
   if (result.success) return result.data;
-  throw new PeerAnswerError('the instances of the peer are not a list of instances', {
+  throw new PeerAnswerError('the list of instances does not match the schema', {
     cause: result.error,
   });
 }
@@ -206,6 +204,6 @@
   try {
     return JSON.parse(text);
   } catch (error) {
-    throw new PeerAnswerError('the answer of the peer is not JSON', { cause: error });
+    throw new PeerAnswerError('the answer is not valid JSON', { cause: error });
   }
 }
--- a/packages/peer/src/lib/errors/peerAnswerError.ts
+++ b/packages/peer/src/lib/errors/peerAnswerError.ts
@@ -1,4 +1,4 @@
 import { PeerError } from './peerError';
 
-/** The peer refused the message, or its answer cannot be understood. @public */
+/** The peer rejected the message, or its answer is invalid. @public */
 export class PeerAnswerError extends PeerError {}
--- a/packages/peer/src/lib/errors/peerError.ts
+++ b/packages/peer/src/lib/errors/peerError.ts
@@ -1,4 +1,4 @@
-/** Base of the errors of calls between instances. @public */
+/** Base class of errors of calls between instances. @public */
 export class PeerError extends Error {
   constructor(message: string, options?: ErrorOptions) {
     super(message, options);
--- a/packages/peer/src/lib/errors/peerUnavailableError.ts
+++ b/packages/peer/src/lib/errors/peerUnavailableError.ts
@@ -1,4 +1,4 @@
 import { PeerError } from './peerError';
 
-/** The peer gave no answer within the deadline; the message may have reached it. @public */
+/** The peer did not answer within the deadline; it may have received the message. @public */
 export class PeerUnavailableError extends PeerError {}
--- a/packages/peer/src/lib/peerMessages.ts
+++ b/packages/peer/src/lib/peerMessages.ts
@@ -1,52 +1,48 @@
 import type { ConfigurationObject, Instance } from '@wisterialift/schema';
 
-/** The number of an instance that has no configuration in force yet. @public */
+/** Configuration number of an instance without a configuration. @public */
 export const NO_CONFIGURATION_NUMBER = -1;
 
-/** A primary that was published; news only where its term is above the one known. @public */
+/** A published primary; ignored unless its term is above the known one. @public */
 export interface PublishedPrimary {
   group: string;
   term: number;
   primary: string;
 }
 
-/** What a peer says of its configuration. @public */
+/** The configuration of a peer. @public */
 export interface PeerConfiguration {
-  /** Number in force there; {@link NO_CONFIGURATION_NUMBER} for none. */
+  /** Active number at the peer; {@link NO_CONFIGURATION_NUMBER} for none. */
   number: number;
-  /** Unchecked; undefined unless the number is above the one asked for. */
+  /** Not validated; undefined unless the number is above the requested one. */
   configurationObject: unknown;
-  /** Time since the platform said there that this number is the present one. */
+  /** Time since the platform confirmed to the peer that this number is current. */
   ageMilliseconds: number;
 }
 
 /** The instances that a peer knows. @public */
 export interface PeerInstances {
   instances: Instance[];
-  /** Time since the platform answered there with the list that this is made of. */
+  /** Time since the platform returned the list that this one derives from. */
   ageMilliseconds: number;
 }
 
-/** What is in force at an instance, for a peer that asks. @public */
+/** The active configuration of an instance. @public */
 export interface HeldConfiguration {
-  /** Undefined before the first. */
+  /** Undefined before the first configuration. */
   configurationObject: ConfigurationObject | undefined;
   ageMilliseconds: number;
 }
 
-/** What a peer answers to a ping. @public */
+/** A peer's answer to a ping. @public */
 export interface PeerStatus {
   instance: string;
   configurationNumber: number;
 }
 
-/**
- * What an instance does with messages of its peers.
- *
- * @public
- */
+/** Handlers of messages from other instances. @public */
 export interface PeerHandlers {
-  /** @returns the number in force after the message. */
+  /** @returns the active number after the message. */
   onConfigurationAnnounced: (configurationObject: unknown) => number;
   onConfigurationRequested: () => HeldConfiguration;
   onInstancesRequested: () => PeerInstances;
@@ -60,9 +56,9 @@
 export interface PeerTls {
   certificate: Buffer;
   key: Buffer;
-  /** Must have signed the certificates of all instances, which name their IP address. */
+  /** Authority that signed the certificates of all instances, which contain their IP addresses. */
   authority: Buffer;
 }
 
-/** Largest message; the largest configuration, a megabyte, fits several times. */
+/** Well above the largest configuration, which is limited to a megabyte. */
 export const MESSAGE_LIMIT_BYTES = 4 * 1_024 * 1_024;
--- a/packages/peer/src/lib/relay/relayClient.ts
+++ b/packages/peer/src/lib/relay/relayClient.ts
@@ -8,10 +8,7 @@
   open: (address: string, events: RelayStreamEvents) => RelayStream;
 }
 
-/**
- * A connection that fails is not repeated by the library: whoever opened the stream places the
- * statements elsewhere meanwhile and opens another.
- */
+/** Disables retries in gRPC: whoever opened a failed stream reroutes statements and opens another. */
 const CHANNEL_OPTIONS = {
   'grpc.use_local_subchannel_pool': 1,
   'grpc.enable_retries': 0,
@@ -23,27 +20,27 @@
     open: (address, { onResponse, onLost }) => {
       const client = new RelayServiceClient(address, credentials.createInsecure(), CHANNEL_OPTIONS);
       const stream = client.relay();
-      let isOver = false;
+      let isEnded = false;
 
-      function finish(error?: Error): void {
-        if (isOver) return;
-        isOver = true;
+      function end(error?: Error): void {
+        if (isEnded) return;
+        isEnded = true;
         client.close();
         if (error) onLost(error);
       }
 
       stream.on('data', (response) => {
-        if (!isOver) onResponse(response);
+        if (!isEnded) onResponse(response);
       });
-      stream.on('error', (error: Error) => finish(error));
-      stream.on('end', () => finish(new Error('the other instance ended the stream')));
+      stream.on('error', (error: Error) => end(error));
+      stream.on('end', () => end(new Error('the other instance ended the stream')));
 
       return {
         send: (request) => {
-          if (!isOver) stream.write(request);
+          if (!isEnded) stream.write(request);
         },
         close: () => {
-          finish();
+          end();
           stream.cancel();
         },
       };
--- a/packages/peer/src/lib/relay/relayServer.ts
+++ b/packages/peer/src/lib/relay/relayServer.ts
@@ -14,32 +14,32 @@
 
 /** @public */
 export interface RelayServer {
-  /** @returns the port that it listens on. @throws PeerError */
+  /** @returns the listening port. @throws PeerError */
   start: () => Promise<number>;
-  /** Ends all streams at once. */
+  /** Ends all streams immediately. */
   stop: () => void;
 }
 
-/** Creates the listener for statements of other instances' callers. @public */
+/** Creates the server for statements that other instances relay. @public */
 export function createRelayServer({ host, port, accept }: RelayServerOptions): RelayServer {
   const server = new Server();
   const service: RelayServiceServer = {
     relay: (stream) => {
-      let isOver = false;
+      let isEnded = false;
       const handlers = accept((response) => {
-        if (!isOver) stream.write(response);
+        if (!isEnded) stream.write(response);
       });
-      const finish = () => {
-        if (isOver) return;
-        isOver = true;
+      const end = () => {
+        if (isEnded) return;
+        isEnded = true;
         handlers.onEnd();
         stream.end();
       };
       stream.on('data', handlers.onRequest);
-      stream.on('end', finish);
-      stream.on('cancelled', finish);
-      stream.on('error', finish);
-      stream.on('close', finish);
+      stream.on('end', end);
+      stream.on('cancelled', end);
+      stream.on('error', end);
+      stream.on('close', end);
     },
   };
   server.addService(RelayServiceService, service);
@@ -47,8 +47,8 @@
   return {
     start: () =>
       new Promise((resolve, reject) => {
-        const listener = ServerCredentials.createInsecure();
-        server.bindAsync(`${host}:${port}`, listener, (error, boundPort) => {
+        const serverCredentials = ServerCredentials.createInsecure();
+        server.bindAsync(`${host}:${port}`, serverCredentials, (error, boundPort) => {
           if (error) reject(new PeerError(`cannot listen on ${host}:${port}`, { cause: error }));
           else resolve(boundPort);
         });
--- a/packages/peer/src/lib/relay/relayStream.ts
+++ b/packages/peer/src/lib/relay/relayStream.ts
@@ -1,20 +1,20 @@
 import type { RelayRequest, RelayResponse } from '../../generated/wisterialift/peer/v1/relay';
 
-/** The sender's end of a stream to another instance. @public */
+/** Client side of a stream to another instance. @public */
 export interface RelayStream {
   send: (request: RelayRequest) => void;
-  /** Ends it; no event comes afterwards. */
+  /** Closes the stream; no events follow. */
   close: () => void;
 }
 
-/** What comes over a stream to another instance. @public */
+/** Events of a stream to another instance. @public */
 export interface RelayStreamEvents {
   onResponse: (response: RelayResponse) => void;
-  /** It ended, or could not be opened. */
+  /** The stream ended or could not be opened. */
   onLost: (error: Error) => void;
 }
 
-/** Called for each stream that another instance opens. @public */
+/** Called for each incoming stream. @public */
 export type RelayAcceptor = (respond: (response: RelayResponse) => void) => {
   onRequest: (request: RelayRequest) => void;
   onEnd: () => void;
--- a/packages/peer/src/lib/server/peerServer.ts
+++ b/packages/peer/src/lib/server/peerServer.ts
@@ -4,8 +4,8 @@
 import { MESSAGE_LIMIT_BYTES } from '../peerMessages';
 import type { PeerHandlers, PeerTls } from '../peerMessages';
 import { checkKeys } from '../tls/checkKeys';
-import { createListenerCredentials } from '../tls/peerCredentials';
-import { createReplaceableKeys } from '../tls/replaceableKeys';
+import { createServerCredentials } from '../tls/peerCredentials';
+import { createCertificateProvider } from '../tls/certificateProvider';
 import { createPeerService } from './peerService';
 
 /** @public */
@@ -14,38 +14,38 @@
   /** 0 for any free port. */
   port: number;
   handlers: PeerHandlers;
-  /** Mutual TLS; anyone who reaches the port may call without it. */
+  /** Mutual TLS; without it, clients are not authenticated. */
   tls?: PeerTls;
 }
 
 /** @public */
 export interface PeerServer {
-  /** @returns the port that it listens on. @throws PeerError */
+  /** @returns the listening port. @throws PeerError */
   start: () => Promise<number>;
   /**
-   * Uses other keys for connections from now on, as when the files of the keys have changed.
+   * Uses other keys for new connections.
    *
-   * @throws PeerError where they cannot be used, or the listener was created without keys; it then
-   *   goes on with the keys that it has.
+   * @throws PeerError if they are invalid, which keeps the current keys, or if the server was created
+   *   without TLS.
    */
   replaceKeys: (tls: PeerTls) => void;
-  /** Refuses new calls and lets those in flight end, for a second at most. */
+  /** Rejects new calls and waits up to a second for pending ones. */
   stop: () => Promise<void>;
 }
 
-/** Calls between instances are short; whatever lasts longer than this is stuck. */
-const STOP_MILLISECONDS = 1_000;
+/** Calls between instances are short; a longer one is stuck. */
+const STOP_TIMEOUT_MILLISECONDS = 1_000;
 
 /**
- * Creates the listener for calls of other instances.
+ * Creates the server for calls of other instances.
  *
- * @throws PeerError where the keys cannot be used.
+ * @throws PeerError if the keys are invalid.
  * @public
  */
 export function createPeerServer(options: PeerServerOptions): PeerServer {
   const { host, port, handlers, tls } = options;
   if (tls) checkKeys(tls);
-  const keys = tls && createReplaceableKeys(tls);
+  const keys = tls && createCertificateProvider(tls);
   const server = new Server({
     'grpc.max_receive_message_length': MESSAGE_LIMIT_BYTES,
     'grpc.max_send_message_length': MESSAGE_LIMIT_BYTES,
@@ -54,8 +54,8 @@
 
   function start(): Promise<number> {
     return new Promise((resolve, reject) => {
-      const listener = createListenerCredentials(keys);
-      server.bindAsync(`${host}:${port}`, listener, (error, boundPort) => {
+      const serverCredentials = createServerCredentials(keys);
+      server.bindAsync(`${host}:${port}`, serverCredentials, (error, boundPort) => {
         if (error) reject(new PeerError(`cannot listen on ${host}:${port}`, { cause: error }));
         else resolve(boundPort);
       });
@@ -63,14 +63,14 @@
   }
 
   function replaceKeys(next: PeerTls): void {
-    if (!keys) throw new PeerError('a listener without keys cannot change to TLS');
+    if (!keys) throw new PeerError('cannot replace the keys of a server without TLS');
     checkKeys(next);
     keys.replace(next);
   }
 
   function stop(): Promise<void> {
     return new Promise((resolve) => {
-      const timer = setTimeout(() => server.forceShutdown(), STOP_MILLISECONDS);
+      const timer = setTimeout(() => server.forceShutdown(), STOP_TIMEOUT_MILLISECONDS);
       server.tryShutdown(() => {
         clearTimeout(timer);
         resolve();
--- a/packages/peer/src/lib/server/peerService.ts
+++ b/packages/peer/src/lib/server/peerService.ts
@@ -1,61 +1,57 @@
 import { status } from '@grpc/grpc-js';
 import type { handleUnaryCall } from '@grpc/grpc-js';
 import type { PeerServiceServer } from '../../generated/wisterialift/peer/v1/peer';
-import { encodeAge } from '../ageOnWire';
-import { createListWriter } from './listDigest';
+import { encodeAge } from '../ageEncoding';
+import { createListEncoder } from './listEncoder';
 import { NO_CONFIGURATION_NUMBER } from '../peerMessages';
 import type { HeldConfiguration, PeerHandlers } from '../peerMessages';
 
-/**
- * Turns the messages of the protocol into calls of the handlers.
- *
- * Several watchers announce the same configuration; only the first is read and checked.
- */
+/** Dispatches messages to the handlers. Repeated announcements of a configuration are not parsed. */
 export function createPeerService(handlers: PeerHandlers): PeerServiceServer {
-  const writeList = createListWriter();
+  const encodeList = createListEncoder();
   return {
-    announceConfiguration: answerWith(({ number, configurationObjectJson }) => {
-      const heldNumber = numberOf(handlers.onConfigurationRequested());
+    announceConfiguration: createUnaryHandler(({ number, configurationObjectJson }) => {
+      const heldNumber = getConfigurationNumber(handlers.onConfigurationRequested());
       if (number <= heldNumber) return { number: heldNumber };
       return { number: handlers.onConfigurationAnnounced(JSON.parse(configurationObjectJson)) };
     }),
-    fetchConfiguration: answerWith(({ aboveNumber }) => {
+    fetchConfiguration: createUnaryHandler(({ aboveNumber }) => {
       const held = handlers.onConfigurationRequested();
-      const number = numberOf(held);
-      const isNews = number > aboveNumber;
+      const number = getConfigurationNumber(held);
+      const isNewer = number > aboveNumber;
       return {
         number,
-        configurationObjectJson: isNews ? JSON.stringify(held.configurationObject) : '',
+        configurationObjectJson: isNewer ? JSON.stringify(held.configurationObject) : '',
         ageMilliseconds: encodeAge(held.ageMilliseconds),
       };
     }),
-    fetchInstances: answerWith(({ knownDigest }) => {
+    fetchInstances: createUnaryHandler(({ knownDigest }) => {
       const { instances, ageMilliseconds } = handlers.onInstancesRequested();
-      const { json, digest } = writeList(instances);
+      const { json, digest } = encodeList(instances);
       return {
         instancesJson: digest === knownDigest ? '' : json,
         ageMilliseconds: encodeAge(ageMilliseconds),
         digest,
       };
     }),
-    announcePrimary: answerWith((published) => {
+    announcePrimary: createUnaryHandler((published) => {
       handlers.onPrimaryPublished(published);
       return {};
     }),
-    announceLeaving: answerWith(({ instance }) => {
+    announceLeaving: createUnaryHandler(({ instance }) => {
       handlers.onLeavingAnnounced(instance);
       return {};
     }),
-    ping: answerWith(() => handlers.onPing()),
+    ping: createUnaryHandler(() => handlers.onPing()),
   };
 }
 
-function numberOf({ configurationObject }: HeldConfiguration): number {
+function getConfigurationNumber({ configurationObject }: HeldConfiguration): number {
   return configurationObject?.number ?? NO_CONFIGURATION_NUMBER;
 }
 
-/** A message that cannot be understood is answered with an error and ends nothing but its call. */
-function answerWith<Request, Answer>(
+/** Wraps a handler; an exception rejects its call with INVALID_ARGUMENT. */
+function createUnaryHandler<Request, Answer>(
   answer: (request: Request) => Answer,
 ): handleUnaryCall<Request, Answer> {
   return (call, callback) => {
--- a/packages/peer/src/lib/tls/checkKeys.ts
+++ b/packages/peer/src/lib/tls/checkKeys.ts
@@ -3,8 +3,8 @@
 import type { PeerTls } from '../peerMessages';
 
 /**
- * Checks that keys can be used. A listener that is given others drops every connection from then on,
- * as when one of two files was written and the other not yet.
+ * Validates keys. A server with invalid keys drops every connection, for example when only one of the
+ * two files has been replaced yet.
  *
  * @throws PeerError
  */
--- a/packages/peer/src/lib/tls/peerCredentials.ts
+++ b/packages/peer/src/lib/tls/peerCredentials.ts
@@ -1,19 +1,18 @@
 import { ServerCredentials, credentials, experimental } from '@grpc/grpc-js';
 import type { ChannelCredentials } from '@grpc/grpc-js';
 import type { PeerTls } from '../peerMessages';
-import type { ReplaceableKeys } from './replaceableKeys';
+import type { ReplaceableCertificateProvider } from './certificateProvider';
 
-/** Credentials of calls: mutual TLS, or none where no keys are set. */
+/** Creates client credentials: mutual TLS, or insecure without keys. */
 export function createCallCredentials(tls: PeerTls | undefined): ChannelCredentials {
   if (!tls) return credentials.createInsecure();
   return credentials.createSsl(tls.authority, tls.key, tls.certificate);
 }
 
-/**
- * Credentials of a listener, which demands a certificate of whoever calls. Keys that are replaced hold
- * for connections from then on; those that are open go on.
- */
-export function createListenerCredentials(keys: ReplaceableKeys | undefined): ServerCredentials {
+/** Creates server credentials; clients need a certificate, and new keys apply to new connections. */
+export function createServerCredentials(
+  keys: ReplaceableCertificateProvider | undefined,
+): ServerCredentials {
   if (!keys) return ServerCredentials.createInsecure();
   return experimental.createCertificateProviderServerCredentials(keys, keys, true);
 }
--- a/packages/peer/src/test/peer.test.ts
+++ b/packages/peer/src/test/peer.test.ts
@@ -23,9 +23,9 @@
 
 let instances = INSTANCES;
 
-/** A listener that keeps what it was told. */
-function createListener(port: number) {
-  const heard = { primaries: [] as PublishedPrimary[], leaving: [] as string[] };
+/** Creates a server that records announcements. */
+function createTestServer(port: number) {
+  const received = { primaries: [] as PublishedPrimary[], leaving: [] as string[] };
   let held: ConfigurationObject | undefined;
   const server = createPeerServer({
     host: '127.0.0.1',
@@ -40,21 +40,21 @@
         ageMilliseconds: held ? 20 : Infinity,
       }),
       onInstancesRequested: () => ({ instances, ageMilliseconds: 30 }),
-      onPrimaryPublished: (published) => heard.primaries.push(published),
-      onLeavingAnnounced: (instance) => heard.leaving.push(instance),
+      onPrimaryPublished: (published) => received.primaries.push(published),
+      onLeavingAnnounced: (instance) => received.leaving.push(instance),
       onPing: () => ({ instance: 'p2', configurationNumber: held?.number ?? -1 }),
     },
   });
-  return { server, heard };
+  return { server, received };
 }
 
 let server: PeerServer;
-let heard: ReturnType<typeof createListener>['heard'];
+let received: ReturnType<typeof createTestServer>['received'];
 let peers: PeerClient;
 let address: string;
 
 beforeEach(async () => {
-  ({ server, heard } = createListener(0));
+  ({ server, received } = createTestServer(0));
   address = `127.0.0.1:${await server.start()}`;
   peers = createPeerClient({ deadlineMilliseconds: 5_000 });
 });
@@ -64,7 +64,7 @@
   await server.stop();
 });
 
-function configurationWith(number: number, user = 'x'): ConfigurationObject {
+function createConfiguration(number: number, user = 'x'): ConfigurationObject {
   const database = { name: 'a1', host: 'h', port: 1, dataCentre: 'd' };
   const limits = { connectionLimit: 1, slots: 1, leaving: false };
   const groups = { g1: { databases: [{ ...database, ...limits }], user, password: 'y' } };
@@ -73,14 +73,14 @@
 }
 
 describe('messages between instances', () => {
-  it('carry a configuration, and carry it back only where it is news', async () => {
+  it('transfer a configuration, and return it only if it is newer', async () => {
     const nothing = {
       number: NO_CONFIGURATION_NUMBER,
       configurationObject: undefined,
       ageMilliseconds: Infinity,
     };
     expect(await peers.fetchConfiguration(address, NO_CONFIGURATION_NUMBER)).toEqual(nothing);
-    const configurationObject = configurationWith(7);
+    const configurationObject = createConfiguration(7);
     expect(await peers.announceConfiguration(address, configurationObject)).toBe(7);
     expect(await peers.fetchConfiguration(address, 6)).toEqual({
       number: 7,
@@ -95,11 +95,8 @@
     expect(await peers.ping(address)).toEqual({ instance: 'p2', configurationNumber: 7 });
   });
 
-  /*
-   * The list is asked for every few seconds and changes once a day. A change must not be hidden by
-   * the digest that spares sending it again.
-   */
-  it('carry the instances, again only once they have changed', async () => {
+  // Guards against a digest that hides a changed list.
+  it('transfer the instances, with and without a change', async () => {
     const changed = [{ ...INSTANCES[0]!, state: 'leaving' as const }];
     const age = { ageMilliseconds: 30 };
     expect(await peers.fetchInstances(address)).toEqual({ instances: INSTANCES, ...age });
@@ -110,30 +107,27 @@
     expect(await peers.fetchInstances(address)).toEqual({ instances: INSTANCES, ...age });
   });
 
-  it('carry a published primary and a leaving', async () => {
+  it('announce a published primary and a stopping instance', async () => {
     const published = { group: 'archivio-1', term: 4, primary: 'a2' };
     await peers.announcePrimary(address, published);
     await peers.announceLeaving(address, 'p1');
-    expect(heard).toEqual({ primaries: [published], leaving: ['p1'] });
+    expect(received).toEqual({ primaries: [published], leaving: ['p1'] });
   });
 
-  it('carry a configuration of a megabyte and refuse one of more than four', async () => {
-    const large = configurationWith(8, 'x'.repeat(1_000_000));
+  it('accept a configuration of 1 MB and reject one above 4 MiB', async () => {
+    const large = createConfiguration(8, 'x'.repeat(1_000_000));
     expect(await peers.announceConfiguration(address, large)).toBe(8);
-    const tooLarge = configurationWith(9, 'x'.repeat(5_000_000));
+    const tooLarge = createConfiguration(9, 'x'.repeat(5_000_000));
     await expect(peers.announceConfiguration(address, tooLarge)).rejects.toThrow(PeerAnswerError);
     expect(await peers.ping(address)).toMatchObject({ configurationNumber: 8 });
   });
 
-  /*
-   * An instance is replaced by another at the same address. Whoever had a connection to the first
-   * must reach the second without being started again.
-   */
-  it('reach a peer again that went away and came back at its address', async () => {
+  // Guards against a client that cannot reconnect after an instance is replaced at the same address.
+  it('reach a peer again after it restarted at the same address', async () => {
     await peers.ping(address);
     await server.stop();
     await expect(peers.ping(address)).rejects.toThrow(PeerUnavailableError);
-    ({ server, heard } = createListener(Number(address.split(':')[1])));
+    ({ server, received } = createTestServer(Number(address.split(':')[1])));
     await server.start();
     await expect
       .poll(() => peers.ping(address).catch(() => undefined), { timeout: 20_000 })
--- a/packages/peer/src/test/peerTls.test.ts
+++ b/packages/peer/src/test/peerTls.test.ts
@@ -4,7 +4,7 @@
 import { PeerError, PeerUnavailableError, createPeerClient, createPeerServer } from '..';
 import type { PeerClient, PeerServer, PeerTls } from '..';
 
-/** Reads the keys of one authority; they are made for these tests alone. */
+/** Reads the test keys of one authority. */
 function readKeys(authority: 'own' | 'foreign'): PeerTls {
   const read = (part: string): Buffer =>
     readFileSync(join(import.meta.dirname, 'keys', `${authority}-${part}.pem`));
@@ -46,31 +46,25 @@
 }
 
 describe('mutual TLS between instances', () => {
-  it('admits a peer with a certificate of the authority', async () => {
+  it('accepts a client with a certificate of the authority', async () => {
     expect(await ping(readKeys('own'))).toMatchObject({ instance: 'p2' });
   });
 
-  /*
-   * Someone on the network announces a configuration of their own making. Without a certificate of
-   * the authority they must not get as far as a call.
-   */
-  it('refuses a caller with a certificate of another authority, and one without any', async () => {
+  // Guards against forged configurations from clients without a certificate of the authority.
+  it('rejects a client with a certificate of another authority, and one without any', async () => {
     const foreign = { ...readKeys('foreign'), authority: readKeys('own').authority };
     await expect(ping(foreign)).rejects.toThrow(PeerUnavailableError);
     peers?.close();
     await expect(ping(undefined)).rejects.toThrow(PeerUnavailableError);
   });
 
-  it('does not speak to a listener of another authority', async () => {
+  it('rejects a server of another authority', async () => {
     const { authority } = readKeys('foreign');
     await expect(ping({ ...readKeys('own'), authority })).rejects.toThrow(PeerUnavailableError);
   });
 
-  /*
-   * The certificates of a fleet run out and are replaced in its files. If an instance had to be started
-   * again for it, every caller would have to connect anew.
-   */
-  it('uses other keys once they are replaced, without a new start', async () => {
+  // Guards against restarts, which disconnect callers, when certificates are renewed.
+  it('uses replaced keys without a restart', async () => {
     expect(await ping(readKeys('own'))).toMatchObject({ instance: 'p2' });
     server.replaceKeys(readKeys('foreign'));
     expect(await peers!.ping(address)).toMatchObject({ instance: 'p2' });
@@ -80,11 +74,8 @@
     await expect(ping(readKeys('own'))).rejects.toThrow(PeerUnavailableError);
   });
 
-  /*
-   * The file of the certificate was replaced and that of its key not yet. Taken as they are, the two
-   * would cut the instance off from all others.
-   */
-  it('keeps its keys when those that should replace them do not fit each other', async () => {
+  // Guards against losing all connections when only one of the two key files has been replaced.
+  it('keeps its keys if the new certificate and key do not match', async () => {
     const halfWritten = { ...readKeys('own'), key: readKeys('foreign').key };
     expect(() => createPeerClient({ deadlineMilliseconds: 1, tls: halfWritten })).toThrow(
       PeerError,
