--- a/packages/proxy/src/lib/statements/caller/answerWriter.ts
+++ b/packages/proxy/src/lib/statements/caller/answerWriter.ts
@@ -8,50 +8,50 @@
   type TextResult,
 } from '@wisterialift/mysql';
 
-/** Number of the first packet of an answer. @internal */
-export const FIRST_SEQUENCE = 1;
+/** Sequence number of the first packet of an answer. @internal */
+export const FIRST_ANSWER_SEQUENCE = 1;
 
-/** Sends the answers to a caller's commands, one for each. @internal */
+/** Sends the final part of the answer to each of a caller's commands. @internal */
 export interface AnswerWriter {
-  frames: (frames: Buffer[]) => void;
-  /** @param token - session token, given with the answer to a write. */
-  ok: (ok?: OkPacket, sequence?: number, token?: string) => void;
-  error: (error: SqlError, sequence?: number) => void;
-  rows: (result: TextResult) => void;
+  sendFrames: (frames: Buffer[]) => void;
+  /** @param token - session token, sent with the answer to a write. */
+  sendOk: (ok?: OkPacket, sequence?: number, token?: string) => void;
+  sendError: (error: SqlError, sequence?: number) => void;
+  sendRows: (result: TextResult) => void;
 }
 
 /** @internal */
 export interface AnswerWriterOptions {
   connection: CallerConnection;
   isInTransaction: () => boolean;
-  /** The answer was sent and no command is being worked on. */
+  /** Called after an answer has been sent. */
   onAnswered: () => void;
 }
 
-/** Creates the writer of a connection's answers. @internal */
+/** @internal */
 export function createAnswerWriter(options: AnswerWriterOptions): AnswerWriter {
   const { connection, isInTransaction, onAnswered } = options;
 
-  const ownOk = (): OkPacket => ({
+  const createOk = (): OkPacket => ({
     ...EMPTY_OK,
     status: withFlag(EMPTY_OK.status, serverStatus.inTransaction, isInTransaction()),
   });
 
   return {
-    frames: (frames) => {
+    sendFrames: (frames) => {
       connection.finish(frames);
       onAnswered();
     },
-    ok: (ok = ownOk(), sequence = FIRST_SEQUENCE, token = undefined) => {
+    sendOk: (ok = createOk(), sequence = FIRST_ANSWER_SEQUENCE, token = undefined) => {
       connection.finishOk({ ok, token }, sequence);
       onAnswered();
     },
-    error: (error, sequence = FIRST_SEQUENCE) => {
+    sendError: (error, sequence = FIRST_ANSWER_SEQUENCE) => {
       connection.finishError(error, sequence);
       onAnswered();
     },
-    rows: (result) => {
-      connection.finishResult(result, ownOk().status);
+    sendRows: (result) => {
+      connection.finishResult(result, createOk().status);
       onAnswered();
     },
   };
--- a/packages/proxy/src/lib/statements/caller/callerErrors.ts
+++ b/packages/proxy/src/lib/statements/caller/callerErrors.ts
@@ -2,13 +2,13 @@
 import type { NotRunReason, Outcome, UnknownReason } from '@wisterialift/schema';
 
 /**
- * Errors of the proxy's own towards callers. What each says about the request:
+ * Codes of the errors that the proxy itself sends to callers:
  *
- * - `notRun` (9101): no database ran it.
- * - `unknown` (9102): it may or may not have run.
- * - `discarded` (9103): it ran, and it is certain that nothing of it remains.
+ * - `notRun` (9101): no database ran the request.
+ * - `unknown` (9102): the request may or may not have run.
+ * - `discarded` (9103): the request has no effect; anything it did was rolled back.
  *
- * All others are answered before anything is sent to a database: not run.
+ * All other errors are sent before the request reaches a database.
  *
  * @public
  */
@@ -31,7 +31,7 @@
 
 type CodeName = keyof typeof callerErrorCode;
 
-const stateByName: Record<CodeName, string> = {
+const sqlStateByName: Record<CodeName, string> = {
   notRun: '08004',
   unknown: '08007',
   discarded: '40000',
@@ -49,8 +49,8 @@
 };
 
 /** @internal */
-export function callerError(name: CodeName, message: string): SqlError {
-  return { code: callerErrorCode[name], state: stateByName[name], message };
+export function createCallerError(name: CodeName, message: string): SqlError {
+  return { code: callerErrorCode[name], state: sqlStateByName[name], message };
 }
 
 const textByNotRunReason: Record<NotRunReason, string> = {
@@ -72,7 +72,7 @@
 
 type FailedOutcome = Exclude<Outcome, { status: 'done' }>;
 
-const textsByStatus: {
+const textByStatus: {
   [Status in FailedOutcome['status']]: (
     outcome: Extract<FailedOutcome, { status: Status }>,
   ) => string;
@@ -83,9 +83,9 @@
   discarded: () => 'Discarded: nothing of it remains',
 };
 
-/** The error of a request that was not answered by a database. @internal */
-export function outcomeError(outcome: FailedOutcome): SqlError {
-  const textOf = textsByStatus[outcome.status] as (outcome: FailedOutcome) => string;
+/** Creates the error for a request that did not get an answer from a database. @internal */
+export function createOutcomeError(outcome: FailedOutcome): SqlError {
+  const formatOutcome = textByStatus[outcome.status] as (outcome: FailedOutcome) => string;
   const retry = `retry after ${outcome.retryAfterMilliseconds} ms`;
-  return callerError(outcome.status, `${textOf(outcome)}; ${retry}`);
+  return createCallerError(outcome.status, `${formatOutcome(outcome)}; ${retry}`);
 }
--- /dev/null
+++ b/packages/proxy/src/lib/statements/caller/callerPreparedStatements.ts
@@ -0,0 +1,129 @@
+import { classifyStatement } from '@wisterialift/core';
+import { toFrames, type CallerConnection, type PreparedDescription } from '@wisterialift/mysql';
+import { FIRST_ANSWER_SEQUENCE, type AnswerWriter } from './answerWriter';
+import { createCallerError } from './callerErrors';
+import type { CallerRequests } from './callerRequests';
+import type { GroupServices, ReceivedStatement } from './callerTypes';
+import { createPreparedStatements, toUpstreamExecute } from './preparedStatements';
+
+/** The prepared statements of a caller connection. @internal */
+export interface CallerPreparedStatements {
+  prepare: (sql: string) => void;
+  /** Finds the statement of an execute command; if unknown, sends the error and returns undefined. */
+  findStatement: (statementId: number, payload: Buffer) => ReceivedStatement | undefined;
+  addLongData: (statementId: number, payload: Buffer) => void;
+  close: (statementId: number) => void;
+  /** Drops parameter values that were sent with COM_STMT_SEND_LONG_DATA. */
+  clearLongData: (statementId: number) => void;
+  clear: () => void;
+}
+
+/** @internal */
+export interface CallerPreparedStatementsOptions {
+  connection: CallerConnection;
+  requests: CallerRequests;
+  answers: AnswerWriter;
+  findGroup: () => GroupServices | undefined;
+  maximumPacketBytes: number;
+}
+
+const STATEMENT_ID_OFFSET_BYTES = 1;
+const PARAMETER_COUNT_OFFSET_BYTES = 7;
+
+/** For statements that the proxy answers itself: no parameters, no column definitions. */
+const EMPTY_DESCRIPTION: PreparedDescription = {
+  header: Buffer.alloc(12),
+  definitions: Buffer.alloc(0),
+};
+
+/** Types of statements that are prepared at a database; the proxy answers the others itself. */
+const typesDescribedByDatabase: ReadonlySet<string> = new Set([
+  'read',
+  'lockingRead',
+  'write',
+  'definition',
+]);
+
+/** @internal */
+export function createCallerPreparedStatements(
+  options: CallerPreparedStatementsOptions,
+): CallerPreparedStatements {
+  const { connection, requests, answers, findGroup, maximumPacketBytes } = options;
+  const statements = createPreparedStatements();
+
+  /**
+   * Sends a statement id of the proxy. Each upstream connection prepares the statement when it first
+   * runs there, since consecutive executes may use different connections.
+   */
+  function answerPrepare(sql: string, { header, definitions }: PreparedDescription): void {
+    const { id } = statements.add(sql, header.readUInt16LE(PARAMETER_COUNT_OFFSET_BYTES));
+    const payload = Buffer.from(header);
+    payload.writeUInt32LE(id, STATEMENT_ID_OFFSET_BYTES);
+    answers.sendFrames([toFrames(payload, FIRST_ANSWER_SEQUENCE), definitions]);
+  }
+
+  function requestDescription(received: ReceivedStatement, sql: string): void {
+    const descriptions = findGroup()?.descriptions;
+    requests.submit({
+      access: 'read',
+      received,
+      onFinished: (finished) => {
+        const final = finished.answer?.final;
+        if (final?.type !== 'prepared') {
+          requests.sendAnswer(finished);
+          return;
+        }
+        requests.observe('done');
+        descriptions?.add(sql, final.description);
+        answerPrepare(sql, final.description);
+      },
+    });
+  }
+
+  return {
+    prepare: (sql) => {
+      const statement = classifyStatement(sql);
+      const { request } = statement;
+      const cached = findGroup()?.descriptions.get(sql);
+      if (request.type === 'unsupported') answers.sendError(unsupportedError(request.feature));
+      else if (!typesDescribedByDatabase.has(request.type)) answerPrepare(sql, EMPTY_DESCRIPTION);
+      else if (cached) answerPrepare(sql, cached);
+      else {
+        requestDescription(
+          { statement, toUpstream: () => ({ type: 'prepare', sql }), isBinary: false },
+          sql,
+        );
+      }
+    },
+    findStatement: (statementId, payload) => {
+      const prepared = statements.get(statementId);
+      if (!prepared) {
+        const message = `Unknown prepared statement ${statementId}`;
+        answers.sendError(createCallerError('unknownStatement', message));
+        return undefined;
+      }
+      const { statement } = prepared;
+      return { statement, toUpstream: () => toUpstreamExecute(prepared, payload), isBinary: true };
+    },
+    addLongData: (statementId, payload) => {
+      const prepared = statements.get(statementId);
+      if (!prepared) return;
+      prepared.longData.push(Buffer.from(payload));
+      prepared.longDataBytes += payload.length;
+      // The command has no answer, so no error can be sent; closing bounds the memory.
+      if (prepared.longDataBytes > maximumPacketBytes) connection.destroy();
+    },
+    close: statements.close,
+    clearLongData: (statementId) => {
+      const prepared = statements.get(statementId);
+      if (prepared) Object.assign(prepared, { longData: [], longDataBytes: 0 });
+    },
+    clear: statements.clear,
+  };
+}
+
+/** @internal */
+export function unsupportedError(feature: string) {
+  const message = `Connections to databases are shared, so ${feature} is not supported`;
+  return createCallerError('unsupported', message);
+}
--- a/packages/proxy/src/lib/statements/caller/callerRequests.ts
+++ b/packages/proxy/src/lib/statements/caller/callerRequests.ts
@@ -9,56 +9,57 @@
 } from '@wisterialift/schema';
 import { createMailbox } from '../mailbox';
 import type { CallerMessage } from '../callerMessages';
-import { FIRST_SEQUENCE, type AnswerWriter } from './answerWriter';
-import { callerError, outcomeError } from './callerErrors';
-import { unknownKind, type CallerSession } from './callerSession';
+import { FIRST_ANSWER_SEQUENCE, type AnswerWriter } from './answerWriter';
+import { createCallerError, createOutcomeError } from './callerErrors';
+import { createUnknownKindError, type CallerSession } from './callerSession';
 import type {
   FinishedRequest,
   GroupServices,
   RequestObservation,
-  StatementWork,
+  ReceivedStatement,
 } from './callerTypes';
 import { findCaller } from './loginCheck';
 import { findKind } from './requestKinds';
 
-/** A transaction that statements belong to. @internal */
+/** Identifies an open transaction of a group. @internal */
 export interface TransactionReference {
   id: string;
   services: GroupServices;
 }
 
-/** The request of a caller connection that is on its way; there is one at a time. @internal */
+/** Submits the requests of a caller connection, one at a time. @internal */
 export interface CallerRequests {
   readonly isBusy: boolean;
   /**
-   * Hands a statement to the group's engine.
+   * Submits a statement to the group's engine.
    *
-   * @throws InvalidTokenError, InvalidSessionVariableError, CutExecuteError before anything is sent.
+   * @throws InvalidTokenError, InvalidSessionVariableError, TruncatedExecuteError before anything is
+   * sent.
    */
   submit: (submission: Submission) => void;
-  /** Hands a statement to the connection of an open transaction; the engine has no part in it. */
+  /** Submits a statement to the connection of an open transaction, bypassing the engine. */
   submitInTransaction: (submission: TransactionSubmission) => void;
-  /** Hands the answer of a database on, or the proxy's own error. */
-  deliver: (finished: FinishedRequest) => void;
-  /** Counts the present request as ended where `deliver` is not called. */
+  /** Sends the database's answer, or an error of the proxy, to the caller. */
+  sendAnswer: (finished: FinishedRequest) => void;
+  /** Reports the current request as ended; needed only if `sendAnswer` is not called. */
   observe: (status: Outcome['status']) => void;
-  /** The answer was sent. */
-  forget: () => void;
-  /** The caller has gone. */
-  withdraw: () => void;
+  /** Call after the answer has been sent. */
+  clear: () => void;
+  /** Cancels the current request because the caller has disconnected. */
+  cancel: () => void;
   onDrain: () => void;
 }
 
 interface Submission {
   access: Access;
-  work: StatementWork;
-  /** Given with access `commit`. */
+  received: ReceivedStatement;
+  /** Set for access `commit`. */
   transaction?: TransactionReference;
   onFinished: (finished: FinishedRequest) => void;
 }
 
 interface TransactionSubmission {
-  work: StatementWork;
+  received: ReceivedStatement;
   transaction: TransactionReference;
   onFinished: (finished: FinishedRequest) => void;
 }
@@ -69,11 +70,11 @@
   connection: CallerConnection;
   answers: AnswerWriter;
   callerSession: CallerSession;
-  configuration: () => Configuration;
+  getConfiguration: () => Configuration;
   findGroup: (group: string) => GroupServices | undefined;
   clock: () => number;
   observe: (observation: RequestObservation) => void;
-  /** The connection of an open transaction broke between two statements. */
+  /** The upstream connection of an open transaction closed while no statement ran on it. */
   onTransactionLost: (transactionId: string) => void;
 }
 
@@ -84,7 +85,7 @@
   access: Access;
   kind: string;
   startedAt: number;
-  /** Number of the answer's next packet. */
+  /** Sequence number of the answer's next packet. */
   nextSequence: number;
   isPaused: boolean;
   onFinished: (finished: FinishedRequest) => void;
@@ -101,9 +102,9 @@
   ) => void;
 };
 
-/** Creates the requests of a caller connection. @internal */
+/** @internal */
 export function createCallerRequests(options: CallerRequestsOptions): CallerRequests {
-  const { caller, connection, answers, callerSession, configuration, clock } = options;
+  const { caller, connection, answers, callerSession, getConfiguration, clock } = options;
   const { session } = callerSession;
   let current: CurrentRequest | undefined;
   let requestCount = 0;
@@ -113,7 +114,7 @@
       if (current?.requestId !== requestId) return;
       current.nextSequence = nextSequence;
       connection.writeFrames(frames);
-      if (connection.isFull) changeFlow(true);
+      if (connection.isFull) setPaused(true);
     },
     requestAnswered: ({ requestId, outcome, answer }) => {
       if (current?.requestId !== requestId) return;
@@ -121,35 +122,37 @@
     },
     transactionLost: ({ transactionId }) => options.onTransactionLost(transactionId),
   };
-  const port = createMailbox<CallerMessage>((message) => {
+  const mailbox = createMailbox<CallerMessage>((message) => {
     const handle = messageHandlers[message.type] as (message: CallerMessage) => void;
     handle(message);
   });
 
   const finalHandlers: FinalHandlers = {
     ok: ({ ok }, { frames, sequence }) => {
-      callerSession.rememberInsertId(ok.insertId);
+      callerSession.setLastInsertId(ok.insertId);
       connection.writeFrames(frames);
-      answers.ok(ok, sequence, ok.gtid === undefined ? undefined : session.token());
+      answers.sendOk(ok, sequence, ok.gtid === undefined ? undefined : session.token());
     },
     eof: ({ payload }, { frames, sequence }) => {
-      answers.frames([...frames, toFrames(payload, sequence)]);
+      answers.sendFrames([...frames, toFrames(payload, sequence)]);
     },
     error: ({ error }, { frames, sequence }) => {
       connection.writeFrames(frames);
-      answers.error(error, sequence);
+      answers.sendError(error, sequence);
     },
     prepared: () => {
-      answers.error(callerError('unknownStatement', 'No prepared statement was asked for'));
+      answers.sendError(
+        createCallerError('unknownStatement', 'No prepared statement was asked for'),
+      );
     },
   };
 
-  /** Asks the database to wait, or to go on: the caller's socket is full, or has room again. */
-  function changeFlow(isPaused: boolean): void {
+  /** Pauses or resumes reading from the database, depending on the caller's write buffer. */
+  function setPaused(isPaused: boolean): void {
     if (!current || current.isPaused === isPaused) return;
     current.isPaused = isPaused;
     const { requestId, services } = current;
-    services.port.post({ type: 'flowChanged', requestId, isPaused });
+    services.mailbox.post({ type: 'flowChanged', requestId, isPaused });
   }
 
   function createRequest(
@@ -159,13 +162,13 @@
     transactionId?: string,
   ): EngineRequest {
     const kind = kindOption ?? session.kind ?? DEFAULT_KIND;
-    const settings = kindSettings(kind);
+    const settings = getKindSettings(kind);
     const arrivedAt = clock();
     requestCount += 1;
     return {
       requestId: `${connection.id}-${requestCount}`,
       caller,
-      weight: findCaller(configuration(), caller)?.weight ?? 1,
+      weight: findCaller(getConfiguration(), caller)?.weight ?? 1,
       kind,
       access,
       token: access === 'commit' ? undefined : session.floorOf(group, token),
@@ -178,13 +181,13 @@
     };
   }
 
-  function kindSettings(name: string): RequestKind {
-    const settings = findKind(configuration(), name);
-    if (!settings) throw unknownKind(name);
+  function getKindSettings(name: string): RequestKind {
+    const settings = findKind(getConfiguration(), name);
+    if (!settings) throw createUnknownKindError(name);
     return settings;
   }
 
-  function track(
+  function setCurrent(
     { requestId, access, kind, arrivedAt }: EngineRequest,
     { group, services, onFinished }: Pick<CurrentRequest, 'group' | 'services' | 'onFinished'>,
   ): void {
@@ -195,7 +198,7 @@
       access,
       kind,
       startedAt: arrivedAt,
-      nextSequence: FIRST_SEQUENCE,
+      nextSequence: FIRST_ANSWER_SEQUENCE,
       isPaused: false,
       onFinished,
     };
@@ -212,50 +215,53 @@
     get isBusy() {
       return current !== undefined;
     },
-    submit: ({ access, work, transaction, onFinished }) => {
+    submit: ({ access, received, transaction, onFinished }) => {
       const { group } = callerSession;
       const services =
         transaction?.services ?? (group === undefined ? undefined : options.findGroup(group));
       if (group === undefined || !services) {
-        answers.error(callerError('noGroupSelected', 'No group selected'));
+        answers.sendError(createCallerError('noGroupSelected', 'No group selected'));
         return;
       }
-      const request = createRequest(access, work.statement, group, transaction?.id);
-      const statement = work.upstream();
-      track(request, { group, services, onFinished });
-      services.port.post({
+      const request = createRequest(access, received.statement, group, transaction?.id);
+      const statement = received.toUpstream();
+      setCurrent(request, { group, services, onFinished });
+      services.mailbox.post({
         type: 'requestSubmitted',
         request,
         statement,
-        caller: port,
+        caller: mailbox,
       });
     },
-    submitInTransaction: ({ work, transaction, onFinished }) => {
+    submitInTransaction: ({ received, transaction, onFinished }) => {
       const { id, services } = transaction;
       const group = callerSession.group ?? '';
-      const request = createRequest('transaction', work.statement, group);
+      const request = createRequest('transaction', received.statement, group);
       const { requestId, deadlineAt } = request;
       const statement = {
         requestId,
         transactionId: id,
-        statement: work.upstream(),
+        statement: received.toUpstream(),
         deadlineAt,
-        caller: port,
+        caller: mailbox,
       };
-      track(request, { group, services, onFinished });
-      services.port.post({ type: 'transactionStatementSubmitted', statement });
+      setCurrent(request, { group, services, onFinished });
+      services.mailbox.post({ type: 'transactionStatementSubmitted', statement });
     },
-    deliver: ({ outcome, answer }) => {
+    sendAnswer: ({ outcome, answer }) => {
       if (!current) return;
       const { group, nextSequence } = current;
       observe(outcome.status);
       if (outcome.status !== 'done') {
-        answers.error(outcomeError(outcome), nextSequence);
+        answers.sendError(createOutcomeError(outcome), nextSequence);
         return;
       }
       if (outcome.position) session.addWrite(group, outcome.position);
       if (!answer) {
-        answers.error(callerError('unknown', 'Outcome unknown: no answer was kept'), nextSequence);
+        answers.sendError(
+          createCallerError('unknown', 'Outcome unknown: no answer was kept'),
+          nextSequence,
+        );
         return;
       }
       const handle = finalHandlers[answer.final.type] as (
@@ -265,15 +271,15 @@
       handle(answer.final, answer);
     },
     observe,
-    forget: () => {
+    clear: () => {
       current = undefined;
     },
-    withdraw: () => {
+    cancel: () => {
       if (!current) return;
       const { services, requestId } = current;
-      services.port.post({ type: 'requestWithdrawn', requestId });
+      services.mailbox.post({ type: 'requestCancelled', requestId });
       current = undefined;
     },
-    onDrain: () => changeFlow(false),
+    onDrain: () => setPaused(false),
   };
 }
--- a/packages/proxy/src/lib/statements/caller/callerSession.ts
+++ b/packages/proxy/src/lib/statements/caller/callerSession.ts
@@ -7,7 +7,7 @@
 } from '@wisterialift/core';
 import type { SqlError } from '@wisterialift/mysql';
 import type { Configuration } from '@wisterialift/schema';
-import { callerError } from './callerErrors';
+import { createCallerError } from './callerErrors';
 import { checkGroup } from './loginCheck';
 import { findKind } from './requestKinds';
 import {
@@ -17,21 +17,21 @@
   type VariableSources,
 } from './sessionVariables';
 
-/** The group, the session and the variables of a caller connection. @internal */
+/** The selected group, session and variables of a caller connection. @internal */
 export interface CallerSession {
   readonly session: Session;
   readonly group: string | undefined;
-  /** @returns the error that refuses the group, or undefined. */
+  /** @returns the error if the caller may not use the group. */
   useGroup: (name: string) => SqlError | undefined;
   /**
-   * @returns the error that refuses an assignment, or undefined.
+   * @returns the error of the first assignment that is not supported; none is applied then.
    * @throws InvalidTokenError, InvalidSessionVariableError
    */
-  set: (assignments: Assignment[]) => SqlError | undefined;
-  /** Values of the columns, or the error that names the first unknown variable. */
-  select: (columns: VariableColumn[]) => (string | null)[] | SqlError;
-  list: (pattern: string) => [string, string][];
-  rememberInsertId: (insertId: number) => void;
+  setVariables: (assignments: Assignment[]) => SqlError | undefined;
+  /** @returns the values of the columns, or an error for the first unknown variable. */
+  selectVariables: (columns: VariableColumn[]) => (string | null)[] | SqlError;
+  listVariables: (pattern: string) => [string, string][];
+  setLastInsertId: (insertId: number) => void;
   reset: () => void;
 }
 
@@ -40,21 +40,21 @@
   connectionId: number;
   caller: string;
   group: string | undefined;
-  configuration: () => Configuration;
+  getConfiguration: () => Configuration;
   maximumPacketBytes: number;
 }
 
-const OWN_PREFIX = 'wisterialift_';
+const PROXY_VARIABLE_PREFIX = 'wisterialift_';
 const KIND_VARIABLE = 'wisterialift_kind';
 
-/** Creates the session of a new caller connection. @internal */
+/** @internal */
 export function createCallerSession(options: CallerSessionOptions): CallerSession {
-  const { connectionId, caller, configuration, maximumPacketBytes } = options;
+  const { connectionId, caller, getConfiguration, maximumPacketBytes } = options;
   const session = createSession();
   let { group } = options;
   let lastInsertId = 0;
 
-  const sources = (): VariableSources => ({
+  const getSources = (): VariableSources => ({
     connectionId,
     caller,
     group,
@@ -65,8 +65,8 @@
 
   const assign = (assignment: Assignment): void => {
     const { name, value } = assignment;
-    const isKnownKind = value === '' || findKind(configuration(), value) !== undefined;
-    if (name === KIND_VARIABLE && !isKnownKind) throw unknownKind(value);
+    const isKnownKind = value === '' || findKind(getConfiguration(), value) !== undefined;
+    if (name === KIND_VARIABLE && !isKnownKind) throw createUnknownKindError(value);
     session.assign(assignment);
   };
 
@@ -76,26 +76,26 @@
       return group;
     },
     useGroup: (name) => {
-      const refusal = checkGroup(configuration(), caller, name);
+      const refusal = checkGroup(getConfiguration(), caller, name);
       if (!refusal) group = name;
       return refusal;
     },
-    set: (assignments) => {
+    setVariables: (assignments) => {
       const refusal = assignments
-        .filter(({ name }) => !name.startsWith(OWN_PREFIX))
+        .filter(({ name }) => !name.startsWith(PROXY_VARIABLE_PREFIX))
         .map(checkAssignment)
         .find((error) => error !== undefined);
       if (!refusal) assignments.forEach(assign);
       return refusal;
     },
-    select: (columns) => {
-      const values = columns.map(({ variable }) => readVariable(variable, sources()));
+    selectVariables: (columns) => {
+      const values = columns.map(({ variable }) => readVariable(variable, getSources()));
       const unknown = columns[values.indexOf(undefined)];
       if (!unknown) return values.map((value) => value ?? null);
-      return callerError('unknownVariable', `Unknown system variable '${unknown.variable}'`);
+      return createCallerError('unknownVariable', `Unknown system variable '${unknown.variable}'`);
     },
-    list: (pattern) => listVariables(pattern, sources()),
-    rememberInsertId: (insertId) => {
+    listVariables: (pattern) => listVariables(pattern, getSources()),
+    setLastInsertId: (insertId) => {
       if (insertId > 0) lastInsertId = insertId;
     },
     reset: () => {
@@ -106,6 +106,6 @@
 }
 
 /** @internal */
-export function unknownKind(name: string): InvalidSessionVariableError {
+export function createUnknownKindError(name: string): InvalidSessionVariableError {
   return new InvalidSessionVariableError(`no kind is named '${name}'`);
 }
--- a/packages/proxy/src/lib/statements/caller/callerTask.ts
+++ b/packages/proxy/src/lib/statements/caller/callerTask.ts
@@ -7,19 +7,24 @@
 import type { CallerCommand, CallerConnection, CallerLogin, SqlError } from '@wisterialift/mysql';
 import type { Configuration } from '@wisterialift/schema';
 import { createAnswerWriter } from './answerWriter';
-import { callerError } from './callerErrors';
-import { createCallerPrepared, unsupportedError } from './callerPrepared';
+import { createCallerError } from './callerErrors';
+import { createCallerPreparedStatements, unsupportedError } from './callerPreparedStatements';
 import { createCallerRequests } from './callerRequests';
 import { createCallerSession } from './callerSession';
 import { createCallerTransaction } from './callerTransaction';
-import type { GroupServices, RequestObservation, Retirement, StatementWork } from './callerTypes';
-import { CutExecuteError } from './preparedStatements';
+import type {
+  GroupServices,
+  RequestObservation,
+  GracefulClose,
+  ReceivedStatement,
+} from './callerTypes';
+import { TruncatedExecuteError } from './preparedStatements';
 
 /** @internal */
 export interface CallerTaskOptions {
   connection: CallerConnection;
   login: CallerLogin;
-  configuration: () => Configuration;
+  getConfiguration: () => Configuration;
   findGroup: (group: string) => GroupServices | undefined;
   maximumPacketBytes: number;
   clock: () => number;
@@ -27,19 +32,19 @@
   onClosed: () => void;
 }
 
-/** The task of one caller connection: it owns the socket, the session and the transaction. @internal */
+/** The task of one caller connection; owns its socket, session and transaction. @internal */
 export interface CallerTask {
   readonly caller: string;
   readonly group: string | undefined;
-  /** Closes once no request is in flight and no transaction is open. */
-  retire: (retirement: Retirement) => void;
+  /** Closes the connection once no request is in flight and no transaction is open. */
+  closeGracefully: (gracefulClose: GracefulClose) => void;
   destroy: () => void;
 }
 
 type StatementHandlers = {
   [Type in StatementRequest['type']]: (
     request: Extract<StatementRequest, { type: Type }>,
-    work: StatementWork,
+    received: ReceivedStatement,
   ) => void;
 };
 
@@ -47,15 +52,15 @@
   [Type in CallerCommand['type']]: (command: Extract<CallerCommand, { type: Type }>) => void;
 };
 
-/** A retired connection that has been idle for this long is closed. */
-const IDLE_BEFORE_CLOSE_MILLISECONDS = 100;
+/** How long a connection must be idle before a graceful close ends it. */
+const IDLE_CLOSE_DELAY_MILLISECONDS = 100;
 
-const IMPLICIT_COMMIT = callerError(
+const IMPLICIT_COMMIT_ERROR = createCallerError(
   'inTransaction',
   'The statement would commit the open transaction by itself; send COMMIT or ROLLBACK first',
 );
 
-const ONE_GROUP = callerError('inTransaction', 'A transaction belongs to one group');
+const GROUP_CHANGE_ERROR = createCallerError('inTransaction', 'A transaction belongs to one group');
 
 /**
  * Starts the task of an authenticated caller connection.
@@ -63,16 +68,16 @@
  * @internal
  */
 export function createCallerTask(options: CallerTaskOptions): CallerTask {
-  const { connection, login, configuration, clock, maximumPacketBytes } = options;
+  const { connection, login, getConfiguration, clock, maximumPacketBytes } = options;
   const { caller } = login;
-  let retirement: (Retirement & { until: number }) | undefined;
+  let pendingClose: (GracefulClose & { graceEndsAt: number }) | undefined;
   let idleTimer: NodeJS.Timeout | undefined;
 
   const callerSession = createCallerSession({
     connectionId: connection.id,
     caller,
     group: login.group,
-    configuration,
+    getConfiguration,
     maximumPacketBytes,
   });
   const answers = createAnswerWriter({
@@ -85,14 +90,14 @@
     connection,
     answers,
     callerSession,
-    configuration,
+    getConfiguration,
     findGroup: options.findGroup,
     clock,
     observe: options.observe,
     onTransactionLost,
   });
   const transaction = createCallerTransaction({ requests, answers, findGroup });
-  const prepared = createCallerPrepared({
+  const prepared = createCallerPreparedStatements({
     connection,
     requests,
     answers,
@@ -116,123 +121,122 @@
   const commandHandlers: CommandHandlers = {
     query: ({ sql, payload }) => {
       const statement = classifyStatement(sql);
-      run({ statement, upstream: () => ({ type: 'query', payload }), isBinary: false });
+      run({ statement, toUpstream: () => ({ type: 'query', payload }), isBinary: false });
     },
     useGroup: ({ group }) => useGroup(group),
-    ping: () => answers.ok(),
+    ping: () => answers.sendOk(),
     prepare: ({ sql }) => prepared.prepare(sql),
     execute: ({ statementId, payload }) => {
-      const work = prepared.toWork(statementId, payload);
-      if (work) run(work);
+      const received = prepared.findStatement(statementId, payload);
+      if (received) run(received);
     },
     sendLongData: ({ statementId, payload }) => prepared.addLongData(statementId, payload),
     closeStatement: ({ statementId }) => prepared.close(statementId),
     resetStatement: ({ statementId }) => {
-      prepared.reset(statementId);
-      answers.ok();
+      prepared.clearLongData(statementId);
+      answers.sendOk();
     },
     resetConnection: () => {
-      transaction.abandon();
+      transaction.discard();
       callerSession.reset();
       prepared.clear();
-      answers.ok();
+      answers.sendOk();
     },
     quit: () => connection.end(),
     unsupported: ({ code }) => {
-      answers.error(callerError('unknownCommand', `Command ${code} is not supported`));
+      answers.sendError(createCallerError('unknownCommand', `Command ${code} is not supported`));
     },
   };
 
   const statementHandlers: StatementHandlers = {
-    read: (_request, work) => runStatement('read', work),
-    lockingRead: (_request, work) => runStatement('write', work),
-    write: (_request, work) => runStatement('write', work),
-    definition: (_request, work) => {
-      if (transaction.isPresent) {
-        answers.error(IMPLICIT_COMMIT);
+    read: (_request, received) => runStatement('read', received),
+    lockingRead: (_request, received) => runStatement('write', received),
+    write: (_request, received) => runStatement('write', received),
+    definition: (_request, received) => {
+      if (transaction.isActive) {
+        answers.sendError(IMPLICIT_COMMIT_ERROR);
         return;
       }
       findGroup()?.descriptions.clear();
-      runStatement('write', work);
+      runStatement('write', received);
     },
-    begin: (_request, work) => transaction.begin(work),
-    commit: (_request, work) => transaction.commit(work),
-    rollback: (_request, work) => transaction.rollback(work),
+    begin: (_request, received) => transaction.begin(received),
+    commit: (_request, received) => transaction.commit(received),
+    rollback: (_request, received) => transaction.rollback(received),
     set: ({ assignments }) => {
-      const refusal = callerSession.set(assignments);
-      if (refusal) answers.error(refusal);
-      else answers.ok();
+      const refusal = callerSession.setVariables(assignments);
+      if (refusal) answers.sendError(refusal);
+      else answers.sendOk();
     },
     use: ({ group }) => useGroup(group),
     selectVariables: ({ columns }, { isBinary }) => {
-      const values = callerSession.select(columns);
-      if (!Array.isArray(values)) answers.error(values);
-      else answers.rows({ columns: columns.map(({ label }) => label), rows: [values], isBinary });
+      const row = callerSession.selectVariables(columns);
+      if (!Array.isArray(row)) answers.sendError(row);
+      else answers.sendRows({ columns: columns.map(({ label }) => label), rows: [row], isBinary });
     },
     showVariables: ({ pattern }, { isBinary }) => {
-      const rows = callerSession.list(pattern);
-      answers.rows({ columns: ['Variable_name', 'Value'], rows, isBinary });
+      const rows = callerSession.listVariables(pattern);
+      answers.sendRows({ columns: ['Variable_name', 'Value'], rows, isBinary });
     },
-    unsupported: ({ feature }) => answers.error(unsupportedError(feature)),
+    unsupported: ({ feature }) => answers.sendError(unsupportedError(feature)),
   };
 
   function onCommand(command: CallerCommand): void {
     clearTimeout(idleTimer);
-    if (retirement && !transaction.isPresent && clock() >= retirement.until) {
-      connection.end(retirement.reason);
+    if (pendingClose && !transaction.isActive && clock() >= pendingClose.graceEndsAt) {
+      connection.end(pendingClose.reason);
       return;
     }
     const handle = commandHandlers[command.type] as (command: CallerCommand) => void;
     try {
       handle(command);
     } catch (error) {
-      answers.error(toSqlError(error));
+      answers.sendError(toSqlError(error));
     }
   }
 
-  function run(work: StatementWork): void {
-    const { request } = work.statement;
+  function run(received: ReceivedStatement): void {
+    const { request } = received.statement;
     const handle = statementHandlers[request.type] as (
       request: StatementRequest,
-      work: StatementWork,
+      received: ReceivedStatement,
     ) => void;
-    handle(request, work);
+    handle(request, received);
   }
 
-  /** Runs a statement by itself, or in the transaction that is open. */
-  function runStatement(access: 'read' | 'write', work: StatementWork): void {
-    if (transaction.isPresent) transaction.run(work);
-    else requests.submit({ access, work, onFinished: requests.deliver });
+  /** Runs a statement in the current transaction, if any. */
+  function runStatement(access: 'read' | 'write', received: ReceivedStatement): void {
+    if (transaction.isActive) transaction.run(received);
+    else requests.submit({ access, received, onFinished: requests.sendAnswer });
   }
 
   function useGroup(name: string): void {
-    const refusal = transaction.isPresent ? ONE_GROUP : callerSession.useGroup(name);
-    if (refusal) answers.error(refusal);
-    else answers.ok();
+    const refusal = transaction.isActive ? GROUP_CHANGE_ERROR : callerSession.useGroup(name);
+    if (refusal) answers.sendError(refusal);
+    else answers.sendOk();
   }
 
   function onAnswered(): void {
-    requests.forget();
-    closeIfRetired();
+    requests.clear();
+    closeIfIdle();
   }
 
   /**
-   * Guards against cutting a request that is on its way while the connection looks idle: the caller
-   * would see a broken connection and could not tell whether its request had run. So an idle
-   * connection stays for a moment, and what comes after that is answered with the reason.
+   * Delays the close because a request may still be in transit: if the connection broke then, the
+   * caller could not tell whether the request had run.
    */
-  function closeIfRetired(): void {
-    if (!retirement || requests.isBusy || transaction.isPresent) return;
-    const { reason, graceMilliseconds } = retirement;
+  function closeIfIdle(): void {
+    if (!pendingClose || requests.isBusy || transaction.isActive) return;
+    const { reason, graceMilliseconds } = pendingClose;
     clearTimeout(idleTimer);
     if (graceMilliseconds === 0) connection.end(reason);
-    else idleTimer = setTimeout(() => connection.end(reason), IDLE_BEFORE_CLOSE_MILLISECONDS);
+    else idleTimer = setTimeout(() => connection.end(reason), IDLE_CLOSE_DELAY_MILLISECONDS);
   }
 
   function onClosed(): void {
     clearTimeout(idleTimer);
-    requests.withdraw();
-    transaction.abandon();
+    requests.cancel();
+    transaction.discard();
     options.onClosed();
   }
 
@@ -243,24 +247,24 @@
     get group() {
       return callerSession.group;
     },
-    retire: (wanted) => {
-      retirement ??= { ...wanted, until: clock() + wanted.graceMilliseconds };
-      closeIfRetired();
+    closeGracefully: (wanted) => {
+      pendingClose ??= { ...wanted, graceEndsAt: clock() + wanted.graceMilliseconds };
+      closeIfIdle();
     },
     destroy: () => connection.destroy(),
   };
 }
 
-/** Turns errors of the session and of prepared statements into the protocol's. */
+/** Converts errors of sessions and prepared statements to protocol errors. */
 function toSqlError(error: unknown): SqlError {
   if (error instanceof InvalidTokenError) {
-    return callerError('wrongValue', `Wrong wisterialift_token: ${error.message}`);
+    return createCallerError('wrongValue', `Wrong wisterialift_token: ${error.message}`);
   }
   if (error instanceof InvalidSessionVariableError) {
-    return callerError('wrongValue', error.message);
+    return createCallerError('wrongValue', error.message);
   }
-  if (error instanceof CutExecuteError) {
-    return callerError('unknownStatement', `Malformed execute command: ${error.message}`);
+  if (error instanceof TruncatedExecuteError) {
+    return createCallerError('unknownStatement', `Malformed execute command: ${error.message}`);
   }
   throw error;
 }
--- a/packages/proxy/src/lib/statements/caller/callerTransaction.ts
+++ b/packages/proxy/src/lib/statements/caller/callerTransaction.ts
@@ -1,31 +1,30 @@
 import type { Outcome } from '@wisterialift/schema';
 import type { AnswerWriter } from './answerWriter';
-import { callerError, outcomeError } from './callerErrors';
+import { createCallerError, createOutcomeError } from './callerErrors';
 import type { CallerRequests, TransactionReference } from './callerRequests';
-import type { FinishedRequest, GroupServices, StatementWork } from './callerTypes';
+import type { FinishedRequest, GroupServices, ReceivedStatement } from './callerTypes';
 
 /** The transaction of a caller connection. @internal */
 export interface CallerTransaction {
-  /** Whether the database has it open. */
+  /** Whether the transaction is open at the database. */
   readonly isOpen: boolean;
-  /** Whether statements belong to it: it is open, or was discarded and the caller has not ended it. */
-  readonly isPresent: boolean;
-  begin: (work: StatementWork) => void;
-  /** Runs a statement within the transaction; `isPresent` holds. */
-  run: (work: StatementWork) => void;
-  commit: (work: StatementWork) => void;
-  rollback: (work: StatementWork) => void;
-  /** The transaction's connection broke between two statements. */
+  /** Whether it is open, or was rolled back and the caller has not ended it yet. */
+  readonly isActive: boolean;
+  begin: (received: ReceivedStatement) => void;
+  /** Runs a statement in the transaction; requires `isActive`. */
+  run: (received: ReceivedStatement) => void;
+  commit: (received: ReceivedStatement) => void;
+  rollback: (received: ReceivedStatement) => void;
+  /** The transaction's upstream connection closed while no statement ran on it. */
   onLost: (transactionId: string) => void;
-  /** Ends it without a word of the caller's. */
-  abandon: () => void;
+  /** Rolls the transaction back because the caller disconnected or reset the connection. */
+  discard: () => void;
 }
 
 interface Transaction extends TransactionReference {
   /**
-   * `discarded` once the database has rolled it back by itself. Statements that followed would run
-   * each by itself and be kept although the first part is gone, so they are refused until the caller
-   * ends the transaction.
+   * `discarded` after the database has rolled the transaction back. Further statements are refused
+   * until the caller ends it; otherwise each would be committed on its own.
    */
   status: 'open' | 'discarded';
 }
@@ -37,29 +36,29 @@
   findGroup: () => GroupServices | undefined;
 }
 
-/** SQLSTATE class of errors with which a database rolls the whole transaction back. */
-const ROLLBACK_CLASS = '40';
+/** SQLSTATE class of errors after which the whole transaction is rolled back. */
+const ROLLBACK_SQLSTATE_CLASS = '40';
 
-const ROLLED_BACK = outcomeError({ status: 'discarded', retryAfterMilliseconds: 0 });
+const ROLLED_BACK_ERROR = createOutcomeError({ status: 'discarded', retryAfterMilliseconds: 0 });
 
-const ALREADY_OPEN = callerError(
+const ALREADY_OPEN_ERROR = createCallerError(
   'inTransaction',
   'The statement would commit the open transaction by itself; send COMMIT or ROLLBACK first',
 );
 
-/** Creates the transaction of a caller connection; none is open at first. @internal */
+/** @internal */
 export function createCallerTransaction(options: CallerTransactionOptions): CallerTransaction {
   const { requests, answers } = options;
   let transaction: Transaction | undefined;
 
-  /** @param isClean - whether the database has ended the transaction and its connection may go on. */
+  /** @param isClean - whether the database has ended the transaction, so its connection can be reused. */
   function end(isClean: boolean): void {
     if (transaction) release(transaction, isClean);
     transaction = undefined;
   }
 
   function release({ id, services }: Transaction, isClean: boolean): void {
-    services.port.post({ type: 'transactionEnded', transactionId: id, isClean });
+    services.mailbox.post({ type: 'transactionEnded', transactionId: id, isClean });
   }
 
   function onStatementFinished(finished: FinishedRequest): void {
@@ -67,92 +66,92 @@
       release(transaction, true);
       transaction.status = 'discarded';
     }
-    requests.deliver(finished);
+    requests.sendAnswer(finished);
   }
 
   return {
     get isOpen() {
       return transaction?.status === 'open';
     },
-    get isPresent() {
+    get isActive() {
       return transaction !== undefined;
     },
-    begin: (work) => {
+    begin: (received) => {
       if (transaction?.status === 'open') {
-        answers.error(ALREADY_OPEN);
+        answers.sendError(ALREADY_OPEN_ERROR);
         return;
       }
       transaction = undefined;
       const services = options.findGroup();
       requests.submit({
         access: 'transaction',
-        work,
+        received,
         onFinished: (finished) => {
           const { requestId, outcome, answer } = finished;
           const hasBegun = outcome.status === 'done' && answer?.final.type === 'ok';
           if (hasBegun && services) transaction = { id: requestId, services, status: 'open' };
-          requests.deliver(finished);
+          requests.sendAnswer(finished);
         },
       });
     },
-    run: (work) => {
+    run: (received) => {
       if (!transaction) return;
-      if (transaction.status === 'discarded') answers.error(ROLLED_BACK);
+      if (transaction.status === 'discarded') answers.sendError(ROLLED_BACK_ERROR);
       else {
-        requests.submitInTransaction({ work, transaction, onFinished: onStatementFinished });
+        requests.submitInTransaction({ received, transaction, onFinished: onStatementFinished });
       }
     },
-    commit: (work) => {
+    commit: (received) => {
       if (transaction?.status !== 'open') {
-        const hadStatements = transaction !== undefined;
+        const wasDiscarded = transaction !== undefined;
         transaction = undefined;
-        if (hadStatements) answers.error(ROLLED_BACK);
-        else answers.ok();
+        if (wasDiscarded) answers.sendError(ROLLED_BACK_ERROR);
+        else answers.sendOk();
         return;
       }
       requests.submit({
         access: 'commit',
-        work,
+        received,
         transaction,
         onFinished: (finished) => {
           end(false);
-          requests.deliver({ ...finished, outcome: toCommitOutcome(finished.outcome) });
+          requests.sendAnswer({ ...finished, outcome: toCommitOutcome(finished.outcome) });
         },
       });
     },
-    rollback: (work) => {
+    rollback: (received) => {
       if (transaction?.status !== 'open') {
         transaction = undefined;
-        answers.ok();
+        answers.sendOk();
         return;
       }
       requests.submitInTransaction({
-        work,
+        received,
         transaction,
         onFinished: ({ outcome, answer }) => {
           const isClean = outcome.status === 'done' && answer?.final.type === 'ok';
           end(isClean);
           requests.observe('done');
-          // A connection that broke has rolled back as well.
-          answers.ok();
+          // The database also rolls back when the connection closes.
+          answers.sendOk();
         },
       });
     },
     onLost: (transactionId) => {
       if (transaction?.id === transactionId) transaction.status = 'discarded';
     },
-    abandon: () => end(false),
+    discard: () => end(false),
   };
 }
 
-/** Whether nothing of the transaction remains after a statement of it. */
+/** Whether a statement has ended with the rollback of its whole transaction. */
 function isRolledBack({ outcome, answer }: FinishedRequest): boolean {
   if (outcome.status !== 'done') return true;
   const final = answer?.final;
-  return final?.type === 'error' && final.error.state.startsWith(ROLLBACK_CLASS);
+  return final?.type === 'error' && final.error.state.startsWith(ROLLBACK_SQLSTATE_CLASS);
 }
 
-/** A COMMIT that was not run leaves nothing: the connection is closed, and the database rolls back. */
+/** If COMMIT was not run, the connection is closed and the database rolls back. */
 function toCommitOutcome(outcome: Outcome): Outcome {
   if (outcome.status !== 'notRun') return outcome;
   return { status: 'discarded', retryAfterMilliseconds: outcome.retryAfterMilliseconds };
--- a/packages/proxy/src/lib/statements/caller/callerTypes.ts
+++ b/packages/proxy/src/lib/statements/caller/callerTypes.ts
@@ -1,10 +1,10 @@
 import type { Access, Statement } from '@wisterialift/core';
 import type { CompletedAnswer, SqlError, UpstreamStatement } from '@wisterialift/mysql';
 import type { Outcome } from '@wisterialift/schema';
-import type { GroupPort } from '../groupMessages';
-import type { PreparedDescriptions } from './preparedDescriptions';
+import type { GroupMailbox } from '../groupMessages';
+import type { PreparedDescriptionCache } from './preparedDescriptionCache';
 
-/** How one request ended, for counts and latencies. @public */
+/** The outcome and latency of a request, for metrics. @public */
 export interface RequestObservation {
   group: string;
   kind: string;
@@ -14,18 +14,18 @@
   latencyMilliseconds: number;
 }
 
-/** What a caller task has of a group. @internal */
+/** What caller tasks use of a group. @internal */
 export interface GroupServices {
-  port: GroupPort;
-  descriptions: PreparedDescriptions;
+  mailbox: GroupMailbox;
+  descriptions: PreparedDescriptionCache;
 }
 
-/** A statement with what goes to a database for it. @internal */
-export interface StatementWork {
+/** A statement that a caller has sent, as text or as an execute command. @internal */
+export interface ReceivedStatement {
   statement: Statement;
-  /** Called once, when the statement is sent. */
-  upstream: () => UpstreamStatement;
-  /** Whether rows of the proxy's own go out in the form of prepared statements. */
+  /** Creates the upstream command. Call only once, since it consumes the long parameter values. */
+  toUpstream: () => UpstreamStatement;
+  /** Whether result rows use the binary protocol, as for prepared statements. */
   isBinary: boolean;
 }
 
@@ -33,14 +33,14 @@
 export interface FinishedRequest {
   requestId: string;
   outcome: Outcome;
-  /** Comes with `done` alone. */
+  /** Set only if the outcome's status is `done`. */
   answer: CompletedAnswer | undefined;
 }
 
-/** How a connection comes to its end. @internal */
-export interface Retirement {
-  /** Told to the caller in place of an answer to what it asks too late. */
+/** Options of a graceful close. @internal */
+export interface GracefulClose {
+  /** Error that the caller receives when the connection closes. */
   reason: SqlError;
-  /** Time during which requests that were on their way are still served, in milliseconds. */
+  /** How long new requests are still served, in milliseconds. */
   graceMilliseconds: number;
 }
--- a/packages/proxy/src/lib/statements/caller/loginCheck.ts
+++ b/packages/proxy/src/lib/statements/caller/loginCheck.ts
@@ -1,50 +1,53 @@
 import { isPasswordProven, type CallerLogin, type SqlError } from '@wisterialift/mysql';
 import type { Caller, Configuration } from '@wisterialift/schema';
-import { callerError } from './callerErrors';
+import { createCallerError } from './callerErrors';
 
-/** What a login is checked against. @internal */
+/** @internal */
 export interface LoginContext {
   configuration: Configuration;
-  /** Connections that the caller has open at this instance. */
-  openConnections: (caller: string) => number;
+  /** Returns the number of open connections of a caller at this instance. */
+  countConnections: (caller: string) => number;
 }
 
-/** A hash that no password is known for, so that unknown callers take as long as known ones. */
-const NO_PASSWORD_HASH = '0'.repeat(40);
+/** Checked for unknown callers, so that response times do not reveal which callers exist. */
+const UNKNOWN_CALLER_PASSWORD_HASH = '0'.repeat(40);
 
 /**
- * Checks who connects, to which group, and whether there is room.
+ * Checks the password, the connection limit and the access to the requested group.
  *
- * @returns the error that refuses the login, or undefined.
+ * @returns the error if the login is refused.
  * @internal
  */
 export function checkLogin(login: CallerLogin, context: LoginContext): SqlError | undefined {
   const { caller: name, group, proof } = login;
   const caller = findCaller(context.configuration, name);
-  const isProven = isPasswordProven(caller?.passwordHash ?? NO_PASSWORD_HASH, proof);
-  if (!caller || !isProven) {
-    return callerError('accessDenied', `Access denied for caller '${name}'`);
+  const isPasswordValid = isPasswordProven(
+    caller?.passwordHash ?? UNKNOWN_CALLER_PASSWORD_HASH,
+    proof,
+  );
+  if (!caller || !isPasswordValid) {
+    return createCallerError('accessDenied', `Access denied for caller '${name}'`);
   }
-  if (context.openConnections(name) >= caller.connectionLimit) {
+  if (context.countConnections(name) >= caller.connectionLimit) {
     const limit = `(current value: ${caller.connectionLimit})`;
     const message = `Caller '${name}' has exceeded the connection limit ${limit}`;
-    return callerError('connectionLimit', message);
+    return createCallerError('connectionLimit', message);
   }
   return group === undefined ? undefined : checkGroup(context.configuration, name, group);
 }
 
-/** Tells whether a caller may use a group. @internal */
+/** @returns the error if the caller may not use the group. @internal */
 export function checkGroup(
   configuration: Configuration,
   callerName: string,
   group: string,
 ): SqlError | undefined {
   if (!Object.hasOwn(configuration.groups, group)) {
-    return callerError('unknownGroup', `Unknown group '${group}'`);
+    return createCallerError('unknownGroup', `Unknown group '${group}'`);
   }
   if (findCaller(configuration, callerName)?.groups.includes(group)) return undefined;
   const message = `Access denied for caller '${callerName}' to group '${group}'`;
-  return callerError('groupNotAllowed', message);
+  return createCallerError('groupNotAllowed', message);
 }
 
 /** @internal */
--- a/packages/proxy/src/lib/statements/caller/preparedDescriptions.ts
+++ b/packages/proxy/src/lib/statements/caller/preparedDescriptionCache.ts
@@ -1,29 +1,28 @@
 import type { PreparedDescription } from '@wisterialift/mysql';
 
-/** What the databases of a group answered to statements that callers prepared. @internal */
-export interface PreparedDescriptions {
+/** Cache of the parameter and column definitions of prepared statements, by SQL text. @internal */
+export interface PreparedDescriptionCache {
   get: (sql: string) => PreparedDescription | undefined;
   add: (sql: string, description: PreparedDescription) => void;
-  /** Forgets all: a definition may have changed the columns. */
+  /** Call after a schema change, which may have changed the columns. */
   clear: () => void;
 }
 
-const MOST_DESCRIPTIONS = 1_000;
+const MAXIMUM_DESCRIPTIONS = 1_000;
 
 /**
- * Creates the memory of descriptions; the one that was added first goes first.
- *
- * A driver that prepares for each call would otherwise cost a database round trip each time.
+ * Creates a cache that evicts its oldest entry when full. It saves a database round trip for each
+ * prepare command, since some drivers prepare a statement for every call.
  *
  * @internal
  */
-export function createPreparedDescriptions(): PreparedDescriptions {
+export function createPreparedDescriptionCache(): PreparedDescriptionCache {
   const descriptions = new Map<string, PreparedDescription>();
   return {
     get: (sql) => descriptions.get(sql),
     add: (sql, description) => {
       descriptions.set(sql, description);
-      if (descriptions.size <= MOST_DESCRIPTIONS) return;
+      if (descriptions.size <= MAXIMUM_DESCRIPTIONS) return;
       const [oldest] = descriptions.keys();
       if (oldest !== undefined) descriptions.delete(oldest);
     },
--- a/packages/proxy/src/lib/statements/caller/preparedStatements.ts
+++ b/packages/proxy/src/lib/statements/caller/preparedStatements.ts
@@ -7,14 +7,14 @@
   sql: string;
   statement: Statement;
   parameterCount: number;
-  /** Types of the parameters as the caller last sent them. */
+  /** Parameter types as last sent by the caller. */
   types: Buffer | undefined;
-  /** Long values that the caller sent ahead of the next execute command. */
+  /** Payloads of COM_STMT_SEND_LONG_DATA for the next execute command. */
   longData: Buffer[];
   longDataBytes: number;
 }
 
-/** The prepared statements of one caller connection; their ids mean nothing elsewhere. @internal */
+/** The prepared statements of one caller connection, by an id that is unique within it. @internal */
 export interface PreparedStatements {
   add: (sql: string, parameterCount: number) => PreparedStatement;
   get: (id: number) => PreparedStatement | undefined;
@@ -49,23 +49,23 @@
   };
 }
 
-/** Bytes of an execute command before the bits that tell which parameters are NULL. */
-const FIXED_BYTES = 10;
-const BITS = 8;
-const BYTES_OF_A_TYPE = 2;
+/** Length of an execute command up to its NULL bitmap. */
+const EXECUTE_HEADER_BYTES = 10;
+const BITS_PER_BYTE = 8;
+const PARAMETER_TYPE_BYTES = 2;
 
-/** An execute command that is shorter than its parameters' description. @internal */
-export class CutExecuteError extends Error {
-  override name = 'CutExecuteError';
+/** Thrown if an execute command is too short for its parameters. @internal */
+export class TruncatedExecuteError extends Error {
+  override name = 'TruncatedExecuteError';
 }
 
 /**
- * Turns an execute command of a caller into one for any connection to a database.
+ * Converts a caller's execute command to one that can run on any upstream connection.
  *
- * A caller may send the types of the parameters with the first execute alone. Here the next execute
- * may run on another connection, which never saw them, so they are put in again.
+ * Callers may send parameter types only with the first execute, so they are inserted into later ones,
+ * which may run on other connections.
  *
- * @throws CutExecuteError
+ * @throws TruncatedExecuteError if the command is too short for its parameters.
  * @internal
  */
 export function toUpstreamExecute(
@@ -73,24 +73,24 @@
   payload: Buffer,
 ): Extract<UpstreamStatement, { type: 'execute' }> {
   const { sql, longData } = prepared;
-  const whole = withTypes(prepared, payload);
+  const completePayload = insertParameterTypes(prepared, payload);
   Object.assign(prepared, { longData: [], longDataBytes: 0 });
-  return { type: 'execute', sql, payload: whole, longData };
+  return { type: 'execute', sql, payload: completePayload, longData };
 }
 
-function withTypes(prepared: PreparedStatement, payload: Buffer): Buffer {
+function insertParameterTypes(prepared: PreparedStatement, payload: Buffer): Buffer {
   const { parameterCount } = prepared;
   if (parameterCount === 0) return payload;
-  const boundAt = FIXED_BYTES + Math.ceil(parameterCount / BITS);
-  const typesAt = boundAt + 1;
-  const typesEnd = typesAt + parameterCount * BYTES_OF_A_TYPE;
-  if (payload.length <= boundAt) throw new CutExecuteError('no parameters');
-  if (payload[boundAt] === 1) {
-    if (payload.length < typesEnd) throw new CutExecuteError('no types of the parameters');
-    Object.assign(prepared, { types: Buffer.from(payload.subarray(typesAt, typesEnd)) });
+  const boundFlagOffset = EXECUTE_HEADER_BYTES + Math.ceil(parameterCount / BITS_PER_BYTE);
+  const typesOffset = boundFlagOffset + 1;
+  const typesEnd = typesOffset + parameterCount * PARAMETER_TYPE_BYTES;
+  if (payload.length <= boundFlagOffset) throw new TruncatedExecuteError('no parameters');
+  if (payload[boundFlagOffset] === 1) {
+    if (payload.length < typesEnd) throw new TruncatedExecuteError('no types of the parameters');
+    Object.assign(prepared, { types: Buffer.from(payload.subarray(typesOffset, typesEnd)) });
     return payload;
   }
-  if (!prepared.types) throw new CutExecuteError('the first execute has no types');
-  const head = payload.subarray(0, boundAt);
-  return Buffer.concat([head, Buffer.from([1]), prepared.types, payload.subarray(typesAt)]);
+  if (!prepared.types) throw new TruncatedExecuteError('the first execute has no types');
+  const head = payload.subarray(0, boundFlagOffset);
+  return Buffer.concat([head, Buffer.from([1]), prepared.types, payload.subarray(typesOffset)]);
 }
--- a/packages/proxy/src/lib/statements/caller/requestKinds.ts
+++ b/packages/proxy/src/lib/statements/caller/requestKinds.ts
@@ -7,7 +7,7 @@
 
 const defaultKind: RequestKind = requestKindSchema.parse({});
 
-/** How requests of a kind are served; undefined where the configuration has no such kind. @internal */
+/** @returns the settings of a request kind, or undefined if it is not configured. @internal */
 export function findKind({ kinds }: Configuration, name: string): RequestKind | undefined {
   if (Object.hasOwn(kinds, name)) return kinds[name];
   return name === DEFAULT_KIND ? defaultKind : undefined;
--- a/packages/proxy/src/lib/statements/caller/sessionVariables.ts
+++ b/packages/proxy/src/lib/statements/caller/sessionVariables.ts
@@ -1,8 +1,8 @@
 import type { Assignment, Session } from '@wisterialift/core';
 import type { SqlError } from '@wisterialift/mysql';
-import { callerError } from './callerErrors';
+import { createCallerError } from './callerErrors';
 
-/** What the variables of a session are read from. @internal */
+/** State from which session variables are read. @internal */
 export interface VariableSources {
   connectionId: number;
   caller: string;
@@ -18,43 +18,43 @@
 const CHARACTER_SET = 'utf8mb4';
 const COLLATION = 'utf8mb4_general_ci';
 
-const constant =
+const createConstant =
   (value: string): ReadVariable =>
   () =>
     value;
 
 /**
- * Variables that the proxy answers for. Drivers ask for them when they connect; no database
- * connection stands behind a session, so a database could only tell of some other session.
+ * Variables that the proxy answers itself. Drivers read them when they connect, and a caller session
+ * has no database session of its own.
  */
 const variables: Record<string, ReadVariable> = {
-  auto_increment_increment: constant('1'),
-  autocommit: constant('1'),
-  character_set_client: constant(CHARACTER_SET),
-  character_set_connection: constant(CHARACTER_SET),
-  character_set_results: constant(CHARACTER_SET),
-  character_set_server: constant(CHARACTER_SET),
-  collation_connection: constant(COLLATION),
-  collation_server: constant(COLLATION),
+  auto_increment_increment: createConstant('1'),
+  autocommit: createConstant('1'),
+  character_set_client: createConstant(CHARACTER_SET),
+  character_set_connection: createConstant(CHARACTER_SET),
+  character_set_results: createConstant(CHARACTER_SET),
+  character_set_server: createConstant(CHARACTER_SET),
+  collation_connection: createConstant(COLLATION),
+  collation_server: createConstant(COLLATION),
   identity: ({ lastInsertId }) => String(lastInsertId),
-  init_connect: constant(''),
-  interactive_timeout: constant('28800'),
+  init_connect: createConstant(''),
+  interactive_timeout: createConstant('28800'),
   last_insert_id: ({ lastInsertId }) => String(lastInsertId),
-  license: constant('Apache-2.0'),
-  lower_case_table_names: constant('0'),
+  license: createConstant('Apache-2.0'),
+  lower_case_table_names: createConstant('0'),
   max_allowed_packet: ({ maximumPacketBytes }) => String(maximumPacketBytes),
-  net_write_timeout: constant('60'),
-  performance_schema: constant('0'),
-  read_only: constant('0'),
-  session_track_system_variables: constant('wisterialift_token'),
-  sql_mode: constant('STRICT_TRANS_TABLES'),
-  system_time_zone: constant('UTC'),
-  time_zone: constant('SYSTEM'),
-  transaction_isolation: constant('REPEATABLE-READ'),
-  tx_isolation: constant('REPEATABLE-READ'),
-  version: constant(VERSION),
-  version_comment: constant('wisterialift'),
-  wait_timeout: constant('28800'),
+  net_write_timeout: createConstant('60'),
+  performance_schema: createConstant('0'),
+  read_only: createConstant('0'),
+  session_track_system_variables: createConstant('wisterialift_token'),
+  sql_mode: createConstant('STRICT_TRANS_TABLES'),
+  system_time_zone: createConstant('UTC'),
+  time_zone: createConstant('SYSTEM'),
+  transaction_isolation: createConstant('REPEATABLE-READ'),
+  tx_isolation: createConstant('REPEATABLE-READ'),
+  version: createConstant(VERSION),
+  version_comment: createConstant('wisterialift'),
+  wait_timeout: createConstant('28800'),
   wisterialift_kind: ({ session }) => session.kind ?? '',
   wisterialift_session: ({ session }) => session.name ?? '',
   wisterialift_token: ({ session }) => session.token(),
@@ -64,19 +64,19 @@
   'last_insert_id()': ({ lastInsertId }) => String(lastInsertId),
   'schema()': ({ group }) => group ?? null,
   'user()': ({ caller }) => `${caller}@%`,
-  'version()': constant(VERSION),
+  'version()': createConstant(VERSION),
 };
 
-/** Reads a variable; undefined where the proxy has none of that name. @internal */
+/** @returns the value of a variable, or undefined if there is no such variable. @internal */
 export function readVariable(name: string, sources: VariableSources): string | null | undefined {
   return Object.hasOwn(variables, name) ? variables[name]?.(sources) : undefined;
 }
 
-/** Names and values of the variables that match a pattern of LIKE. @internal */
+/** @returns names and values of the variables that match a LIKE pattern. @internal */
 export function listVariables(pattern: string, sources: VariableSources): [string, string][] {
-  const form = toRegularExpression(pattern);
+  const expression = toRegularExpression(pattern);
   return Object.keys(variables)
-    .filter((name) => !name.endsWith(')') && form.test(name))
+    .filter((name) => !name.endsWith(')') && expression.test(name))
     .map((name) => [name, readVariable(name, sources) ?? '']);
 }
 
@@ -93,9 +93,9 @@
 const isUtf8 = (value: string): boolean => utf8Names.has(value.toLowerCase());
 const isOn = (value: string): boolean => /^(1|on|true|default)$/i.test(value);
 const isOff = (value: string): boolean => /^(0|off|false|default)$/i.test(value);
-const isAnything = (): boolean => true;
+const isAnyValue = (): boolean => true;
 
-/** Values that a session already has, or that change nothing about its statements. */
+/** Assignments that are accepted and ignored, since they do not change how statements run. */
 const acceptedValues: Record<string, (value: string) => boolean> = {
   names: isUtf8,
   character_set_client: isUtf8,
@@ -104,23 +104,23 @@
   collation_connection: (value) => /^utf8/i.test(value),
   autocommit: isOn,
   sql_auto_is_null: isOff,
-  net_read_timeout: isAnything,
-  net_write_timeout: isAnything,
-  wait_timeout: isAnything,
-  interactive_timeout: isAnything,
+  net_read_timeout: isAnyValue,
+  net_write_timeout: isAnyValue,
+  wait_timeout: isAnyValue,
+  interactive_timeout: isAnyValue,
 };
 
 /**
- * Judges the assignment of a variable that is not the session's own.
+ * Checks an assignment to a MySQL variable, which the proxy can only accept if it has no effect.
  *
- * @returns the error that refuses it, or undefined where it holds already.
+ * @returns the error if the assignment is not supported.
  * @internal
  */
 export function checkAssignment({ scope, name, value }: Assignment): SqlError | undefined {
-  const isOwnScope = scope === 'session' || scope === 'names';
-  const isAccepted = isOwnScope && Object.hasOwn(acceptedValues, name);
+  const isSessionScope = scope === 'session' || scope === 'names';
+  const isAccepted = isSessionScope && Object.hasOwn(acceptedValues, name);
   if (isAccepted && acceptedValues[name]?.(value)) return undefined;
-  return callerError(
+  return createCallerError(
     'unsupported',
     `Connections to databases are shared, so SET ${name} to ${value} is not supported`,
   );
--- a/packages/proxy/src/lib/statements/callerMessages.ts
+++ b/packages/proxy/src/lib/statements/callerMessages.ts
@@ -2,14 +2,14 @@
 import type { Outcome } from '@wisterialift/schema';
 import type { Mailbox } from './mailbox';
 
-/** What a caller task is told about its statements. @internal */
+/** A message to the task of a caller connection. @internal */
 export type CallerMessage =
-  /** A part of the answer that goes on. */
+  /** Packets of an answer that is not complete yet. */
   | { type: 'answerContinued'; requestId: string; frames: Buffer[]; nextSequence: number }
-  /** The final answer; `answer` comes with `done` alone. */
+  /** The request has ended; `answer` is set only if the outcome's status is `done`. */
   | { type: 'requestAnswered'; requestId: string; outcome: Outcome; answer?: CompletedAnswer }
-  /** The connection of an open transaction broke between two statements. */
+  /** The upstream connection of an open transaction closed while no statement ran on it. */
   | { type: 'transactionLost'; transactionId: string };
 
 /** @internal */
-export type CallerPort = Mailbox<CallerMessage>;
+export type CallerMailbox = Mailbox<CallerMessage>;
--- a/packages/proxy/src/lib/statements/group/groupTask.ts
+++ b/packages/proxy/src/lib/statements/group/groupTask.ts
@@ -10,12 +10,12 @@
 import type { CompletedAnswer, ControlQuestion } from '@wisterialift/mysql';
 import type { UpstreamGroup } from '@wisterialift/schema';
 import { createMailbox } from '../mailbox';
-import type { GroupMessage, GroupPort, TransactionStatement } from '../groupMessages';
+import type { GroupMessage, GroupMailbox, TransactionStatement } from '../groupMessages';
 import {
-  TRANSACTION_DISCARDED,
-  resultOf,
-  resultOfAbandoned,
-  transactionOutcomeOf,
+  TRANSACTION_DISCARDED_OUTCOME,
+  toStatementResult,
+  toCancelledResult,
+  toTransactionOutcome,
 } from './statementResult';
 import { createStatementRun, endAttempt, type StatementRun } from './statementRun';
 import { createTransactionTable } from './transactionTable';
@@ -34,13 +34,13 @@
   onPrimaryPromoted: (promotion: { term: number; primary: string }) => void;
 }
 
-/** The task of one upstream group: it owns the engine, its timer and the upstream connections. @internal */
+/** The task of one group; owns its engine, timer and upstream connections. @internal */
 export interface GroupTask {
-  port: GroupPort;
-  view: () => GroupEngineView;
-  connectionCounts: () => UpstreamConnectionCount[];
-  /** Requests and transactions that are not over. */
-  openCount: () => number;
+  mailbox: GroupMailbox;
+  getView: () => GroupEngineView;
+  getConnectionCounts: () => UpstreamConnectionCount[];
+  /** Number of requests and transactions that have not ended. */
+  countUnfinished: () => number;
   stop: () => void;
 }
 
@@ -57,8 +57,8 @@
 /**
  * Starts the task of a group.
  *
- * Effects of the engine are carried out as they come; whatever follows from them arrives as a message
- * of its own, so the engine is never entered while it works.
+ * Results of the engine's effects are posted as messages, so that the engine is never re-entered while
+ * it handles an event.
  *
  * @internal
  */
@@ -101,19 +101,19 @@
         requestId,
         createStatementRun({ requestId, statement, caller, access, transactionId }),
       );
-      feed({ type: 'requestArrived', request });
+      handleEvent({ type: 'requestArrived', request });
     },
-    requestWithdrawn: ({ requestId }) => {
+    requestCancelled: ({ requestId }) => {
       const run = runs.get(requestId);
       if (!run) {
-        // The answer to a BEGIN and the caller's end have crossed.
+        // The caller disconnected while the answer to its BEGIN was in the mailbox.
         transactions.end(requestId, false);
         return;
       }
       runs.delete(requestId);
-      feed({ type: 'requestCancelled', requestId });
-      // The engine knows nothing of statements within a transaction.
-      dropAttempt(run);
+      handleEvent({ type: 'requestCancelled', requestId });
+      // The engine does not track statements in a transaction.
+      cancelAttempt(run);
     },
     transactionStatementSubmitted: ({ statement }) => runInTransaction(statement),
     transactionEnded: ({ transactionId, isClean }) => transactions.end(transactionId, isClean),
@@ -131,7 +131,7 @@
     },
     framesArrived: ({ run, attempt, frames, next }) => {
       if (run.attempt !== attempt) return;
-      Object.assign(run, { hasStarted: true });
+      Object.assign(run, { hasAnswerStarted: true });
       const { requestId } = run;
       run.caller.post({ type: 'answerContinued', requestId, frames, nextSequence: next });
     },
@@ -145,9 +145,9 @@
     transactionReset: ({ lease }) => transactions.onReset(lease),
     upstreamGroupChanged: ({ upstreamGroup }) => {
       members.update(upstreamGroup);
-      feed({ type: 'groupChanged', databases: upstreamGroup.databases });
+      handleEvent({ type: 'groupChanged', databases: upstreamGroup.databases });
     },
-    engineEvent: ({ event }) => feed(event),
+    engineEvent: ({ event }) => handleEvent(event),
   };
 
   const effectHandlers: EffectHandlers = {
@@ -156,16 +156,16 @@
       if (!run) return;
       Object.assign(run, { attempt });
       if (run.access === 'commit') runCommit(run);
-      else lendTo(run, member);
+      else acquireLease(run, member);
     },
     abandonStatement: ({ requestId, attempt, reportsLoss }) => {
       const run = runs.get(requestId);
       if (run?.attempt !== attempt) return;
-      // An answer that the caller has begun to read cannot be had from another member: broken off it
-      // fails for certain, while a database that was merely busy goes on. The deadline still ends it.
-      if (reportsLoss && run.hasStarted) return;
-      const result = resultOfAbandoned(run);
-      dropAttempt(run);
+      // A partly forwarded answer cannot be retried at another member, so it is left to complete; its
+      // deadline still applies.
+      if (reportsLoss && run.hasAnswerStarted) return;
+      const result = toCancelledResult(run);
+      cancelAttempt(run);
       if (!reportsLoss) return;
       const event = { type: 'statementFinished', requestId, attempt, result } as const;
       post({ type: 'engineEvent', event });
@@ -177,13 +177,14 @@
       const answer = outcome.status === 'done' ? run.answer : undefined;
       run.caller.post({ type: 'requestAnswered', requestId, outcome, answer });
     },
-    askStatus: ({ questionId, member }) => ask(questionId, member, { type: 'askStatus' }),
-    fence: ({ questionId, member, term }) => ask(questionId, member, { type: 'fence', term }),
-    promote: ({ questionId, member, term }) => ask(questionId, member, { type: 'promote', term }),
+    askStatus: ({ questionId, member }) => askMember(questionId, member, { type: 'askStatus' }),
+    fence: ({ questionId, member, term }) => askMember(questionId, member, { type: 'fence', term }),
+    promote: ({ questionId, member, term }) =>
+      askMember(questionId, member, { type: 'promote', term }),
     follow: ({ questionId, member, term, primary }) => {
       const { host, port } = members.get(primary)?.database ?? {};
       const primaryAddress = `${host}:${port}`;
-      ask(questionId, member, { type: 'follow', term, primary, primaryAddress });
+      askMember(questionId, member, { type: 'follow', term, primary, primaryAddress });
     },
     publishPrimary: ({ term, primary }) => options.onPrimaryPromoted({ term, primary }),
     setTimer: ({ at }) => {
@@ -202,16 +203,16 @@
     handle(message);
   }
 
-  function feed(event: EngineEvent): void {
-    engine.handle(event, clock()).forEach(carryOut);
+  function handleEvent(event: EngineEvent): void {
+    engine.handle(event, clock()).forEach(executeEffect);
   }
 
-  function carryOut(effect: EngineEffect): void {
+  function executeEffect(effect: EngineEffect): void {
     const handle = effectHandlers[effect.type] as (effect: EngineEffect) => void;
     handle(effect);
   }
 
-  function ask(questionId: number, memberName: string, question: ControlQuestion): void {
+  function askMember(questionId: number, memberName: string, question: ControlQuestion): void {
     const member = members.get(memberName);
     if (!member) {
       const event = { type: 'questionFailed', questionId, reason: 'unreachable' } as const;
@@ -227,9 +228,9 @@
     });
   }
 
-  // One attempt at a statement
+  // Attempts
 
-  function lendTo(run: StatementRun, memberName: string): void {
+  function acquireLease(run: StatementRun, memberName: string): void {
     const { attempt } = run;
     const member = members.get(memberName);
     if (!member) {
@@ -245,7 +246,7 @@
   function runOn(lease: Lease, run: StatementRun): void {
     const { attempt } = run;
     Object.assign(run, { lease });
-    // A connection may end between its loan and the statement, which then was not sent.
+    // The connection may have closed since the lease was granted; nothing was sent then.
     if (!lease.connection.isOpen) {
       post({ type: 'leaseRefused', run, attempt, failure: 'connectFailed' });
       return;
@@ -258,16 +259,16 @@
   }
 
   function onAnswered(run: StatementRun, answer: CompletedAnswer): void {
-    const result = resultOf(run, answer);
+    const result = toStatementResult(run, answer);
     Object.assign(run, { answer });
     finish(run, result);
   }
 
   function onLost(run: StatementRun): void {
-    finish(run, { kind: 'lost', answerStarted: run.hasStarted });
+    finish(run, { kind: 'lost', answerStarted: run.hasAnswerStarted });
   }
 
-  /** Gives the connection to whoever needs it next, then tells the engine or the caller. */
+  /** Ends an attempt: releases its connection, then reports to the engine or the caller. */
   function finish(run: StatementRun, result: StatementResult): void {
     const { lease, attempt, requestId } = run;
     clearTimeout(run.deadlineTimer);
@@ -281,11 +282,11 @@
     else if (lease && run.access === 'transaction' && result.kind === 'completed') {
       transactions.add(requestId, lease, run.caller);
     } else if (lease) members.release(lease);
-    feed({ type: 'statementFinished', requestId, attempt, result });
+    handleEvent({ type: 'statementFinished', requestId, attempt, result });
   }
 
-  /** Ends an attempt whose answer nobody waits for; the connection is closed, as its answer may come late. */
-  function dropAttempt(run: StatementRun): void {
+  /** Cancels an attempt. Closes its connection, since a late answer could reach the next statement. */
+  function cancelAttempt(run: StatementRun): void {
     if (run.attempt === 0) return;
     clearTimeout(run.deadlineTimer);
     run.lease?.connection.destroy();
@@ -321,7 +322,7 @@
     run.deadlineTimer = setTimeout(() => {
       if (runs.get(requestId) !== run) return;
       runs.delete(requestId);
-      dropAttempt(run);
+      cancelAttempt(run);
       answerDiscarded(caller, requestId);
     }, deadlineAt - clock());
     runs.set(requestId, run);
@@ -331,7 +332,7 @@
 
   function onTransactionStatementFinished(run: StatementRun, result: StatementResult): void {
     const { requestId, caller, transactionId } = run;
-    const outcome = transactionOutcomeOf(run, result);
+    const outcome = toTransactionOutcome(run, result);
     const answer = outcome.status === 'done' ? run.answer : undefined;
     runs.delete(requestId);
     transactions.setRunning(transactionId, false);
@@ -340,7 +341,7 @@
   }
 
   function answerDiscarded(caller: StatementRun['caller'], requestId: string): void {
-    caller.post({ type: 'requestAnswered', requestId, outcome: TRANSACTION_DISCARDED });
+    caller.post({ type: 'requestAnswered', requestId, outcome: TRANSACTION_DISCARDED_OUTCOME });
   }
 
   function sweep(): void {
@@ -353,10 +354,10 @@
   post({ type: 'engineEvent', event: { type: 'timerFired' } });
 
   return {
-    port: { post },
-    view: () => engine.view(clock()),
-    connectionCounts: members.counts,
-    openCount: () => runs.size + transactions.size(),
+    mailbox: { post },
+    getView: () => engine.view(clock()),
+    getConnectionCounts: members.getConnectionCounts,
+    countUnfinished: () => runs.size + transactions.getSize(),
     stop: () => {
       isStopped = true;
       clearTimeout(timer);
--- a/packages/proxy/src/lib/statements/group/statementResult.ts
+++ b/packages/proxy/src/lib/statements/group/statementResult.ts
@@ -3,59 +3,58 @@
 import { parsePosition, type Outcome } from '@wisterialift/schema';
 import type { StatementRun } from './statementRun';
 
-/** The database's refusal of a write where it is no primary: nothing of it ran. */
-const NOT_PRIMARY_ERROR = 1290;
+/** Error of a replica that receives a write; nothing was run. */
+const NOT_PRIMARY_ERROR_CODE = 1290;
 
-/** When a transaction whose connection broke may be tried again, in milliseconds. */
-const TRANSACTION_RETRY_MILLISECONDS = 100;
+const TRANSACTION_RETRY_DELAY_MILLISECONDS = 100;
 
-const changingAccess: ReadonlySet<StatementRun['access']> = new Set(['write', 'commit']);
+const modifyingAccess: ReadonlySet<StatementRun['access']> = new Set(['write', 'commit']);
 
-/** The outcome of a statement whose transaction was rolled back under it. @internal */
-export const TRANSACTION_DISCARDED: Outcome = {
+/** The outcome of a statement whose transaction was rolled back. @internal */
+export const TRANSACTION_DISCARDED_OUTCOME: Outcome = {
   status: 'discarded',
-  retryAfterMilliseconds: TRANSACTION_RETRY_MILLISECONDS,
+  retryAfterMilliseconds: TRANSACTION_RETRY_DELAY_MILLISECONDS,
 };
 
-const IMPLICITLY_COMMITTED: Outcome = {
+const IMPLICIT_COMMIT_OUTCOME: Outcome = {
   status: 'unknown',
   reason: 'connectionLost',
-  retryAfterMilliseconds: TRANSACTION_RETRY_MILLISECONDS,
+  retryAfterMilliseconds: TRANSACTION_RETRY_DELAY_MILLISECONDS,
 };
 
-/** What the engine is told of a whole answer. @internal */
-export function resultOf(run: StatementRun, { final }: CompletedAnswer): StatementResult {
+/** Converts a complete answer to a result for the engine. @internal */
+export function toStatementResult(run: StatementRun, { final }: CompletedAnswer): StatementResult {
   if (final.type === 'error') {
     const { code } = final.error;
-    if (code === NOT_PRIMARY_ERROR) return { kind: 'refused', reason: 'notPrimary' };
+    if (code === NOT_PRIMARY_ERROR_CODE) return { kind: 'refused', reason: 'notPrimary' };
     return { kind: 'databaseError', code };
   }
-  if (final.type !== 'ok' || !changingAccess.has(run.access)) return { kind: 'completed' };
+  if (final.type !== 'ok' || !modifyingAccess.has(run.access)) return { kind: 'completed' };
   const position = final.ok.gtid === undefined ? undefined : parsePosition(final.ok.gtid);
   return { kind: 'completed', position };
 }
 
-/** What the engine is told of an attempt that it gave up: one without a connection was not sent. @internal */
-export function resultOfAbandoned({ lease, hasStarted }: StatementRun): StatementResult {
+/** The result of a cancelled attempt; without a connection nothing was sent. @internal */
+export function toCancelledResult({ lease, hasAnswerStarted }: StatementRun): StatementResult {
   if (!lease) return { kind: 'refused', reason: 'connectFailed' };
-  return { kind: 'lost', answerStarted: hasStarted };
+  return { kind: 'lost', answerStarted: hasAnswerStarted };
 }
 
-const outcomesByResult: Record<StatementResult['kind'], Outcome> = {
+const outcomeByResultKind: Record<StatementResult['kind'], Outcome> = {
   completed: { status: 'done' },
   databaseError: { status: 'done' },
-  refused: TRANSACTION_DISCARDED,
-  lost: TRANSACTION_DISCARDED,
+  refused: TRANSACTION_DISCARDED_OUTCOME,
+  lost: TRANSACTION_DISCARDED_OUTCOME,
 };
 
-/** The outcome of a statement within a transaction. @internal */
-export function transactionOutcomeOf(run: StatementRun, result: StatementResult): Outcome {
-  return hasCommitted(run) ? IMPLICITLY_COMMITTED : outcomesByResult[result.kind];
+/** Converts the result of a statement in a transaction to its outcome. @internal */
+export function toTransactionOutcome(run: StatementRun, result: StatementResult): Outcome {
+  return hasCommitted(run) ? IMPLICIT_COMMIT_OUTCOME : outcomeByResultKind[result.kind];
 }
 
 /**
- * Guards against a statement that commits a transaction by itself: its writes would be acknowledged
- * without a majority. It shows as a position in an answer before COMMIT.
+ * Whether a statement has committed its transaction implicitly, without confirmation by a majority.
+ * Its answer then has a position, which answers before COMMIT otherwise lack.
  */
 function hasCommitted({ answer }: StatementRun): boolean {
   return answer?.final.type === 'ok' && answer.final.ok.gtid !== undefined;
--- a/packages/proxy/src/lib/statements/group/statementRun.ts
+++ b/packages/proxy/src/lib/statements/group/statementRun.ts
@@ -1,36 +1,36 @@
 import type { Access } from '@wisterialift/core';
 import type { CompletedAnswer, UpstreamStatement } from '@wisterialift/mysql';
-import type { CallerPort } from '../callerMessages';
+import type { CallerMailbox } from '../callerMessages';
 import type { Lease } from './upstreamPool';
 
-/** A statement of a caller on its way through a group task. @internal */
+/** A statement that a group task is running. @internal */
 export interface StatementRun {
   requestId: string;
   statement: UpstreamStatement;
-  caller: CallerPort;
-  /** `statement` for one within an open transaction. */
+  caller: CallerMailbox;
+  /** `statement` for a statement in an open transaction. */
   access: Access | 'statement';
-  /** Of the transaction that a commit or a statement belongs to. */
+  /** The transaction, if `access` is `commit` or `statement`. */
   transactionId: string | undefined;
-  /** Number of the present attempt; messages of earlier ones are passed over. 0 while there is none. */
+  /** Number of the current attempt, or 0. Messages of earlier attempts are ignored. */
   attempt: number;
   lease: Lease | undefined;
-  /** Whether a part of the answer has gone to the caller. */
-  hasStarted: boolean;
-  /** The whole answer, held until the engine lets it go. */
+  /** Whether part of the answer has been sent to the caller. */
+  hasAnswerStarted: boolean;
+  /** The final part of the answer, kept until the engine ends the request. */
   answer: CompletedAnswer | undefined;
   deadlineTimer: NodeJS.Timeout | undefined;
 }
 
-/** What a run starts from. @internal */
-export type StatementRunStart = Pick<
+/** @internal */
+export type StatementRunOptions = Pick<
   StatementRun,
   'requestId' | 'statement' | 'caller' | 'access' | 'transactionId'
 >;
 
 /** Creates a run before its first attempt. @internal */
-export function createStatementRun(start: StatementRunStart): StatementRun {
-  const { requestId, statement, caller, access, transactionId } = start;
+export function createStatementRun(options: StatementRunOptions): StatementRun {
+  const { requestId, statement, caller, access, transactionId } = options;
   return {
     requestId,
     statement,
@@ -39,13 +39,13 @@
     transactionId,
     attempt: 0,
     lease: undefined,
-    hasStarted: false,
+    hasAnswerStarted: false,
     answer: undefined,
     deadlineTimer: undefined,
   };
 }
 
-/** Ends the present attempt; whatever comes of it later is passed over. @internal */
+/** Ends the current attempt; later messages of it are ignored. @internal */
 export function endAttempt(run: StatementRun): void {
   Object.assign(run, { attempt: 0, lease: undefined });
 }
--- a/packages/proxy/src/lib/statements/group/upstreamMembers.ts
+++ b/packages/proxy/src/lib/statements/group/upstreamMembers.ts
@@ -18,7 +18,7 @@
   control: GroupControlConnection;
 }
 
-/** Connections of this instance to one database. @public */
+/** Number of connections of this instance to one database. @public */
 export interface UpstreamConnectionCount extends ConnectionCount {
   group: string;
   member: string;
@@ -36,20 +36,20 @@
 export interface UpstreamMembers {
   get: (name: string) => UpstreamMember | undefined;
   release: (lease: Lease) => void;
-  /** Takes the group's present databases; a member with another address gets new connections. */
+  /** Applies the group's configuration; members whose address or login changed reconnect. */
   update: (upstreamGroup: UpstreamGroup) => void;
-  /** @param shareOf - connections that this instance may have to a member. */
-  sweep: (shareOf: (name: string) => number) => void;
-  counts: () => UpstreamConnectionCount[];
+  /** @param getShare - returns the number of connections that this instance may have to a member. */
+  sweep: (getShare: (name: string) => number) => void;
+  getConnectionCounts: () => UpstreamConnectionCount[];
   destroy: () => void;
 }
 
-/** Creates the connections to the members of a group; none is opened before it is needed. @internal */
+/** Creates the connection pools of the members; connections are opened on demand. @internal */
 export function createUpstreamMembers(options: UpstreamMembersOptions): UpstreamMembers {
   const { group, clock, onLeaseClosed } = options;
   const members = new Map<string, UpstreamMember>();
 
-  const open = (database: Database, address: UpstreamAddress): UpstreamMember => ({
+  const createMember = (database: Database, address: UpstreamAddress): UpstreamMember => ({
     database,
     pool: createUpstreamPool({ member: database.name, address, clock, onLeaseClosed }),
     control: createGroupControlConnection({
@@ -58,40 +58,41 @@
     }),
   });
 
-  const retire = (name: string, { pool, control }: UpstreamMember): void => {
-    pool.retire();
+  const removeMember = (name: string, { pool, control }: UpstreamMember): void => {
+    pool.drain();
     control.close();
     members.delete(name);
   };
 
   const updateMember = (database: Database, { user, password }: UpstreamGroup): void => {
     const address = { host: database.host, port: database.port, user, password };
-    const present = members.get(database.name);
-    if (present && isSameAddress(present.pool.address, address)) {
-      present.database = database;
+    const current = members.get(database.name);
+    if (current && isSameAddress(current.pool.address, address)) {
+      current.database = database;
       return;
     }
-    if (present) retire(database.name, present);
-    members.set(database.name, open(database, address));
+    if (current) removeMember(database.name, current);
+    members.set(database.name, createMember(database, address));
   };
 
   return {
     get: (name) => members.get(name),
     release: (lease) => {
       const member = members.get(lease.member);
-      // A lease of a pool that was retired has no place to go back to.
-      if (member && member.pool.owns(lease)) member.pool.release(lease);
+      // The lease belongs to a pool that has been replaced or removed.
+      if (member && member.pool.hasLease(lease)) member.pool.release(lease);
       else lease.connection.destroy();
     },
     update: (upstreamGroup) => {
       const names = new Set(upstreamGroup.databases.map(({ name }) => name));
       [...members].forEach(([name, member]) => {
-        if (!names.has(name)) retire(name, member);
+        if (!names.has(name)) removeMember(name, member);
       });
       upstreamGroup.databases.forEach((database) => updateMember(database, upstreamGroup));
     },
-    sweep: (shareOf) => members.forEach(({ pool }, name) => pool.sweep(shareOf(name))),
-    counts: () => [...members].map(([member, { pool }]) => ({ group, member, ...pool.counts() })),
+    sweep: (getShare) => members.forEach(({ pool }, name) => pool.sweep(getShare(name))),
+    getConnectionCounts: () =>
+      [...members].map(([member, { pool }]) => ({ group, member, ...pool.getConnectionCount() })),
     destroy: () => {
       members.forEach(({ pool, control }) => {
         pool.destroy();
--- a/packages/proxy/src/lib/statements/group/upstreamPool.ts
+++ b/packages/proxy/src/lib/statements/group/upstreamPool.ts
@@ -5,7 +5,7 @@
   type UpstreamConnection,
 } from '@wisterialift/mysql';
 
-/** A connection out on loan, to one statement or one transaction at a time. @internal */
+/** A pooled connection in exclusive use by a statement or a transaction. @internal */
 export interface Lease {
   member: string;
   connection: UpstreamConnection;
@@ -19,7 +19,7 @@
   member: string;
   address: UpstreamAddress;
   clock: () => number;
-  /** A connection that was out on loan has ended. */
+  /** Called when a leased connection has closed. */
   onLeaseClosed: (lease: Lease) => void;
 }
 
@@ -29,23 +29,23 @@
   onRefused: (failure: LeaseFailure) => void;
 }
 
-/** Connections to one database. @internal */
+/** A pool of connections to one database. @internal */
 export interface UpstreamPool {
   readonly address: UpstreamAddress;
-  /** Lends an idle connection or opens one; how many may be out is the engine's decision. */
+  /** Leases an idle connection or opens one. The engine limits the number of leases. */
   acquire: (request: LeaseRequest) => void;
-  owns: (lease: Lease) => boolean;
-  /** Takes back a connection whose statement has ended. */
+  hasLease: (lease: Lease) => boolean;
+  /** Returns a connection to the pool. */
   release: (lease: Lease) => void;
-  /** Closes idle connections beyond `mostConnections`, and those not used for a while. */
-  sweep: (mostConnections: number) => void;
-  counts: () => ConnectionCount;
-  /** Closes what is idle; what is out is closed when it comes back. */
-  retire: () => void;
+  /** Closes idle connections above the limit and those that have exceeded the idle timeout. */
+  sweep: (maximumConnections: number) => void;
+  getConnectionCount: () => ConnectionCount;
+  /** Closes idle connections now and leased ones when they are released. */
+  drain: () => void;
   destroy: () => void;
 }
 
-/** Connections to one database by what they do. @public */
+/** Number of connections to one database by state. @public */
 export interface ConnectionCount {
   opening: number;
   running: number;
@@ -54,36 +54,34 @@
 
 interface IdleConnection {
   lease: Lease;
-  since: number;
+  idleSince: number;
 }
 
 const CONNECT_TIMEOUT_MILLISECONDS = 1_000;
-const IDLE_MILLISECONDS = 10_000;
+const IDLE_TIMEOUT_MILLISECONDS = 10_000;
 
 /**
- * Creates the connections to one database.
- *
- * The connection that came back last goes out first, so that those which are no longer needed are the
- * ones that grow old and are closed.
+ * Creates a pool that reuses the most recently released connection first, so that surplus connections
+ * reach the idle timeout.
  *
  * @internal
  */
 export function createUpstreamPool(options: UpstreamPoolOptions): UpstreamPool {
   const { member, address, clock } = options;
   const idle: IdleConnection[] = [];
-  const out = new Set<Lease>();
+  const leased = new Set<Lease>();
   const opening = new Set<UpstreamConnection>();
-  let isRetired = false;
+  let isDraining = false;
 
-  const lend = (lease: Lease, request: LeaseRequest): void => {
-    out.add(lease);
+  const grant = (lease: Lease, request: LeaseRequest): void => {
+    leased.add(lease);
     request.onGranted(lease);
   };
 
   function onClosed(lease: Lease): void {
     const index = idle.findIndex((entry) => entry.lease === lease);
     if (index >= 0) idle.splice(index, 1);
-    if (out.delete(lease)) options.onLeaseClosed(lease);
+    if (leased.delete(lease)) options.onLeaseClosed(lease);
   }
 
   const open = (request: LeaseRequest): void => {
@@ -94,7 +92,7 @@
       onOpened: () => {
         opening.delete(connection);
         lease = { member, connection };
-        lend(lease, request);
+        grant(lease, request);
       },
       onOpenFailed: (failure) => {
         opening.delete(connection);
@@ -112,41 +110,44 @@
     oldest?.lease.connection.destroy();
   };
 
-  const total = (): number => idle.length + out.size + opening.size;
+  const countConnections = (): number => idle.length + leased.size + opening.size;
 
   return {
     address,
     acquire: (request) => {
       const last = idle.pop();
-      if (last) lend(last.lease, request);
+      if (last) grant(last.lease, request);
       else open(request);
     },
-    owns: (lease) => out.has(lease),
+    hasLease: (lease) => leased.has(lease),
     release: (lease) => {
-      if (!out.delete(lease)) return;
-      if (isRetired) lease.connection.destroy();
-      else idle.push({ lease, since: clock() });
+      if (!leased.delete(lease)) return;
+      if (isDraining) lease.connection.destroy();
+      else idle.push({ lease, idleSince: clock() });
     },
-    sweep: (mostConnections) => {
-      const usedBefore = clock() - IDLE_MILLISECONDS;
-      while (idle.length > 0 && (total() > mostConnections || isOlder(idle[0], usedBefore))) {
+    sweep: (maximumConnections) => {
+      const usedBefore = clock() - IDLE_TIMEOUT_MILLISECONDS;
+      while (
+        idle.length > 0 &&
+        (countConnections() > maximumConnections || isIdleSinceBefore(idle[0], usedBefore))
+      ) {
         closeOldest();
       }
     },
-    counts: () => ({ opening: opening.size, running: out.size, idle: idle.length }),
-    retire: () => {
-      isRetired = true;
+    getConnectionCount: () => ({ opening: opening.size, running: leased.size, idle: idle.length }),
+    drain: () => {
+      isDraining = true;
       while (idle.length > 0) closeOldest();
     },
     destroy: () => {
-      isRetired = true;
+      isDraining = true;
       while (idle.length > 0) closeOldest();
       [...opening].forEach((connection) => connection.destroy());
-      [...out].forEach(({ connection }) => connection.destroy());
+      [...leased].forEach(({ connection }) => connection.destroy());
     },
   };
 }
 
-function isOlder(entry: IdleConnection | undefined, time: number): boolean {
-  return entry !== undefined && entry.since < time;
+function isIdleSinceBefore(entry: IdleConnection | undefined, time: number): boolean {
+  return entry !== undefined && entry.idleSince < time;
 }
--- a/packages/proxy/src/lib/statements/groupMessages.ts
+++ b/packages/proxy/src/lib/statements/groupMessages.ts
@@ -1,24 +1,24 @@
 import type { EngineEvent, EngineRequest } from '@wisterialift/core';
 import type { CompletedAnswer, UpstreamStatement } from '@wisterialift/mysql';
 import type { UpstreamGroup } from '@wisterialift/schema';
-import type { CallerPort } from './callerMessages';
+import type { CallerMailbox } from './callerMessages';
 import type { StatementRun } from './group/statementRun';
 import type { Lease, LeaseFailure } from './group/upstreamPool';
 import type { Mailbox } from './mailbox';
 
-/** What a group task is asked to do, and what its connections tell it. @internal */
+/** A message to a group task, from a caller task or from an upstream connection. @internal */
 export type GroupMessage =
   | {
       type: 'requestSubmitted';
       request: EngineRequest;
       statement: UpstreamStatement;
-      caller: CallerPort;
+      caller: CallerMailbox;
     }
-  | { type: 'requestWithdrawn'; requestId: string }
+  | { type: 'requestCancelled'; requestId: string }
   | { type: 'transactionStatementSubmitted'; statement: TransactionStatement }
-  /** `isClean` where the database has ended the transaction, so that its connection can be used again. */
+  /** `isClean`: the database has ended the transaction, so its connection can be reused. */
   | { type: 'transactionEnded'; transactionId: string; isClean: boolean }
-  /** The caller's socket is full, or has room again. */
+  /** The write buffer of the caller's socket has filled up or drained. */
   | { type: 'flowChanged'; requestId: string; isPaused: boolean }
   | { type: 'leaseGranted'; run: StatementRun; attempt: number; lease: Lease }
   | { type: 'leaseRefused'; run: StatementRun; attempt: number; failure: LeaseFailure }
@@ -31,14 +31,14 @@
   | { type: 'engineEvent'; event: EngineEvent };
 
 /** @internal */
-export type GroupPort = Mailbox<GroupMessage>;
+export type GroupMailbox = Mailbox<GroupMessage>;
 
-/** A statement within an open transaction, which goes to the transaction's own connection. @internal */
+/** A statement to run on the connection of an open transaction. @internal */
 export interface TransactionStatement {
   requestId: string;
   transactionId: string;
   statement: UpstreamStatement;
-  /** Time of the engine's clock at which the transaction is given up. */
+  /** When an unfinished statement is cancelled; in milliseconds of the group task's `clock`. */
   deadlineAt: number;
-  caller: CallerPort;
+  caller: CallerMailbox;
 }
--- a/packages/proxy/src/lib/statements/mailbox.ts
+++ b/packages/proxy/src/lib/statements/mailbox.ts
@@ -1,4 +1,4 @@
-/** Where a task receives its messages. @internal */
+/** The message queue of a task. @internal */
 export interface Mailbox<Message> {
   post: (message: Message) => void;
 }
@@ -6,31 +6,30 @@
 /**
  * Creates the mailbox of a task.
  *
- * Messages are handled in their order, one after the other, once the sender's own step is over. So a
- * task never sees its state change under its hands, and a fault in a task does not unwind into the
- * socket's library.
+ * Messages are handled one at a time, in order, after the sender's current callback has returned. A
+ * handler is therefore never re-entered, and its exceptions do not propagate to the sender.
  *
  * @internal
  */
 export function createMailbox<Message>(handle: (message: Message) => void): Mailbox<Message> {
-  let waiting: Message[] = [];
-  let isDraining = false;
+  let queue: Message[] = [];
+  let isScheduled = false;
 
-  const drain = (): void => {
-    while (waiting.length > 0) {
-      const messages = waiting;
-      waiting = [];
+  const handleQueue = (): void => {
+    while (queue.length > 0) {
+      const messages = queue;
+      queue = [];
       messages.forEach(handle);
     }
-    isDraining = false;
+    isScheduled = false;
   };
 
   return {
     post: (message) => {
-      waiting.push(message);
-      if (isDraining) return;
-      isDraining = true;
-      process.nextTick(drain);
+      queue.push(message);
+      if (isScheduled) return;
+      isScheduled = true;
+      process.nextTick(handleQueue);
     },
   };
 }
--- a/packages/proxy/src/lib/statements/statementPath.ts
+++ b/packages/proxy/src/lib/statements/statementPath.ts
@@ -13,21 +13,21 @@
   type SqlError,
 } from '@wisterialift/mysql';
 import type { Configuration, Settings } from '@wisterialift/schema';
-import { callerError } from './caller/callerErrors';
+import { createCallerError } from './caller/callerErrors';
 import { createCallerTask, type CallerTask } from './caller/callerTask';
-import type { GroupServices, RequestObservation, Retirement } from './caller/callerTypes';
+import type { GroupServices, RequestObservation, GracefulClose } from './caller/callerTypes';
 import { createGroupTask, type GroupTask } from './group/groupTask';
 import { checkGroup, checkLogin, findCaller } from './caller/loginCheck';
-import { createPreparedDescriptions } from './caller/preparedDescriptions';
+import { createPreparedDescriptionCache } from './caller/preparedDescriptionCache';
 import type { UpstreamConnectionCount } from './group/upstreamMembers';
 
-/** A decision of a group's engine, for the log and the counts. @public */
+/** An engine record of a group, for logs and metrics. @public */
 export interface GroupRecord {
   group: string;
   record: EngineRecord;
 }
 
-/** The primary of a group from a term on. @public */
+/** The primary of a group as of a term. @public */
 export interface GroupPrimary {
   group: string;
   term: number;
@@ -38,48 +38,48 @@
 export interface StatementPathOptions {
   settings: Settings;
   configuration: Configuration;
-  /** Uniform random numbers in [0, 1). */
+  /** Returns uniformly distributed numbers in [0, 1). */
   random: () => number;
   record: (record: GroupRecord) => void;
   observe: (observation: RequestObservation) => void;
-  /** An engine of this instance has promoted a primary. */
+  /** Called when this instance has promoted a primary. */
   onPrimaryPromoted: (promoted: GroupPrimary) => void;
-  /** Keys of `settings.tls.callers`; without them callers connect in the clear alone. */
+  /** Keys of `settings.tls.callers`; if undefined, callers cannot use TLS. */
   callerTls?: CallerTls | undefined;
-  /** Changes to the engines' limits, for tests and trials. */
+  /** Overrides of the engine policy, for tests and experiments. */
   policy?: Partial<EnginePolicy>;
 }
 
-/** Connections of this instance. @public */
+/** Numbers of open connections of this instance. @public */
 export interface ConnectionCounts {
   callers: number;
   upstreams: UpstreamConnectionCount[];
 }
 
-/** The way of statements from callers to databases and back. @public */
+/** Accepts callers and forwards their statements to the databases. @public */
 export interface StatementPath {
-  /** Starts to accept callers. */
+  /** Starts to accept callers; resolves with the address of the listener. */
   listen: () => Promise<ListenerAddress>;
   /**
-   * Takes other keys for the callers to come.
+   * Replaces the TLS keys for new caller connections.
    *
-   * @throws Error of the TLS library where the keys cannot be used; the present ones stay.
+   * @throws Error of the TLS library if the keys are invalid; the previous keys stay in use.
    */
   applyCallerTls: (tls: CallerTls) => void;
-  /** Takes a new configuration, also for the connections that are open. */
+  /** Applies a configuration, also to open connections. */
   applyConfiguration: (configuration: Configuration) => void;
-  /** @param names - instances that the platform's list shows as live. */
+  /** @param names - live instances according to the platform. */
   applyInstances: (names: string[]) => void;
-  /** Another instance has published a primary. */
+  /** Call when another instance has published a primary. */
   onPrimaryPublished: (published: GroupPrimary) => void;
   views: () => GroupEngineView[];
   connectionCounts: () => ConnectionCounts;
   /**
-   * Stops gracefully: accepts no more callers, lets requests and transactions end, closes connections
-   * as they become idle. Resolves when none is left, or after `limits.drainMilliseconds`.
+   * Shuts down gracefully: stops accepting callers and closes each connection once its requests and
+   * transactions have ended. Resolves when all are closed or after `limits.drainMilliseconds`.
    */
   drain: () => Promise<void>;
-  /** Closes everything at once. */
+  /** Closes all connections immediately. */
   stop: () => Promise<void>;
 }
 
@@ -87,19 +87,19 @@
   task: GroupTask;
 }
 
-const STOPPING: SqlError = callerError(
+const STOPPING_ERROR: SqlError = createCallerError(
   'notRun',
   'Not run: this proxy is stopping; connect again, retry after 0 ms',
 );
 
-/** While it stops, an instance serves connections that are busy for this long before it sends them on. */
-const DRAINING: Retirement = { reason: STOPPING, graceMilliseconds: 1_000 };
+/** Callers that keep sending statements during a shutdown are still served for this long. */
+const DRAINING_CLOSE: GracefulClose = { reason: STOPPING_ERROR, graceMilliseconds: 1_000 };
 
-const POLL_MILLISECONDS = 20;
+const POLL_INTERVAL_MILLISECONDS = 20;
 
 /**
- * Creates the path of statements: a listener, a task for each caller connection and one for each
- * group.
+ * Creates the listener for callers and the tasks of the configured groups. Each caller connection
+ * gets a task of its own.
  *
  * @example
  * const path = createStatementPath({ settings, configuration, random: Math.random, ... });
@@ -111,7 +111,7 @@
   const { maximumPacketBytes } = settings.limits;
   const clock = (): number => performance.now();
   const groups = new Map<string, RunningGroup>();
-  const retiredGroups = new Set<GroupTask>();
+  const removedGroups = new Set<GroupTask>();
   const callers = new Set<CallerTask>();
   let { configuration } = options;
   let liveInstances: string[] = [settings.instance.name];
@@ -121,11 +121,11 @@
     ...settings.callers,
     maximumPacketBytes,
     tls: options.callerTls,
-    authenticate: (login) => checkLogin(login, { configuration, openConnections }),
+    authenticate: (login) => checkLogin(login, { configuration, countConnections }),
     onConnection,
   });
 
-  function openConnections(caller: string): number {
+  function countConnections(caller: string): number {
     let count = 0;
     callers.forEach((task) => {
       if (task.caller === caller) count += 1;
@@ -137,7 +137,7 @@
     const task = createCallerTask({
       connection,
       login,
-      configuration: () => configuration,
+      getConfiguration: () => configuration,
       findGroup: (group) => groups.get(group),
       maximumPacketBytes,
       clock,
@@ -145,7 +145,7 @@
       onClosed: () => callers.delete(task),
     });
     callers.add(task);
-    if (isDraining) task.retire(DRAINING);
+    if (isDraining) task.closeGracefully(DRAINING_CLOSE);
   }
 
   function startGroup(group: string): void {
@@ -155,51 +155,57 @@
       group,
       upstreamGroup,
       instance: settings.instance,
-      policy: policyOf(options),
+      policy: createPolicy(options),
       clock,
       random: options.random,
       record: (record) => options.record({ group, record }),
       onPrimaryPromoted: (promotion) => options.onPrimaryPromoted({ group, ...promotion }),
     });
-    groups.set(group, { task, port: task.port, descriptions: createPreparedDescriptions() });
-    tellInstances(task);
+    groups.set(group, {
+      task,
+      mailbox: task.mailbox,
+      descriptions: createPreparedDescriptionCache(),
+    });
+    postInstances(task);
   }
 
-  function tellInstances(task: GroupTask): void {
-    task.port.post({ type: 'engineEvent', event: { type: 'instancesChanged', liveInstances } });
+  function postInstances(task: GroupTask): void {
+    task.mailbox.post({ type: 'engineEvent', event: { type: 'instancesChanged', liveInstances } });
   }
 
-  /** A group that left the configuration ends what it has begun. */
-  function retireGroup(group: string, { task }: RunningGroup): void {
+  /** Stops the task of a group after its open requests and transactions have ended. */
+  function removeGroup(group: string, { task }: RunningGroup): void {
     groups.delete(group);
-    retiredGroups.add(task);
-    void waitUntil(() => task.openCount() === 0, settings.limits.drainMilliseconds).then(() => {
-      task.stop();
-      retiredGroups.delete(task);
-    });
+    removedGroups.add(task);
+    void waitUntil(() => task.countUnfinished() === 0, settings.limits.drainMilliseconds).then(
+      () => {
+        task.stop();
+        removedGroups.delete(task);
+      },
+    );
   }
 
   function applyGroups(): void {
     [...groups].forEach(([group, running]) => {
       const upstreamGroup = configuration.groups[group];
-      if (!upstreamGroup) retireGroup(group, running);
-      else running.port.post({ type: 'upstreamGroupChanged', upstreamGroup });
+      if (!upstreamGroup) removeGroup(group, running);
+      else running.mailbox.post({ type: 'upstreamGroupChanged', upstreamGroup });
     });
     Object.keys(configuration.groups)
       .filter((group) => !groups.has(group))
       .forEach(startGroup);
   }
 
-  function applyCallers(): void {
+  function closeRefusedCallers(): void {
     callers.forEach((task) => {
-      const refusal = refusalOf(task);
-      if (refusal) task.retire({ reason: refusal, graceMilliseconds: 0 });
+      const refusal = findRefusal(task);
+      if (refusal) task.closeGracefully({ reason: refusal, graceMilliseconds: 0 });
     });
   }
 
-  function refusalOf({ caller, group }: CallerTask): SqlError | undefined {
+  function findRefusal({ caller, group }: CallerTask): SqlError | undefined {
     if (!findCaller(configuration, caller)) {
-      return callerError(
+      return createCallerError(
         'accessDenied',
         `Caller '${caller}' is no longer part of the configuration`,
       );
@@ -215,35 +221,35 @@
     applyConfiguration: (changed) => {
       configuration = changed;
       applyGroups();
-      applyCallers();
+      closeRefusedCallers();
     },
     applyInstances: (names) => {
       liveInstances = names;
-      groups.forEach(({ task }) => tellInstances(task));
+      groups.forEach(({ task }) => postInstances(task));
     },
     onPrimaryPublished: ({ group, term, primary }) => {
       const event = { type: 'primaryPublished', term, primary } as const;
-      groups.get(group)?.port.post({ type: 'engineEvent', event });
+      groups.get(group)?.mailbox.post({ type: 'engineEvent', event });
     },
-    views: () => [...groups.values()].map(({ task }) => task.view()),
+    views: () => [...groups.values()].map(({ task }) => task.getView()),
     connectionCounts: () => ({
       callers: callers.size,
-      upstreams: [...groups.values()].flatMap(({ task }) => task.connectionCounts()),
+      upstreams: [...groups.values()].flatMap(({ task }) => task.getConnectionCounts()),
     }),
     drain: async () => {
       isDraining = true;
       listener.stopAccepting();
-      groups.forEach(({ port }) => {
-        port.post({ type: 'engineEvent', event: { type: 'drainStarted' } });
+      groups.forEach(({ mailbox }) => {
+        mailbox.post({ type: 'engineEvent', event: { type: 'drainStarted' } });
       });
-      callers.forEach((task) => task.retire(DRAINING));
+      callers.forEach((task) => task.closeGracefully(DRAINING_CLOSE));
       await waitUntil(() => callers.size === 0, settings.limits.drainMilliseconds);
     },
     stop: async () => {
       listener.stopAccepting();
       callers.forEach((task) => task.destroy());
       await waitUntil(() => callers.size === 0, settings.limits.drainMilliseconds);
-      [...[...groups.values()].map(({ task }) => task), ...retiredGroups].forEach((task) =>
+      [...[...groups.values()].map(({ task }) => task), ...removedGroups].forEach((task) =>
         task.stop(),
       );
       groups.clear();
@@ -251,7 +257,7 @@
   };
 }
 
-function policyOf({ settings, policy }: StatementPathOptions): EnginePolicy {
+function createPolicy({ settings, policy }: StatementPathOptions): EnginePolicy {
   const { limits, failover } = settings;
   return {
     ...DEFAULT_ENGINE_POLICY,
@@ -264,12 +270,12 @@
   };
 }
 
-/** Resolves when the condition holds, or after the time limit. */
+/** Resolves when the condition holds or the time limit has passed. */
 async function waitUntil(condition: () => boolean, limitMilliseconds: number): Promise<void> {
-  const giveUpAt = performance.now() + limitMilliseconds;
-  while (!condition() && performance.now() < giveUpAt) {
+  const deadlineAt = performance.now() + limitMilliseconds;
+  while (!condition() && performance.now() < deadlineAt) {
     await new Promise((resolve) => {
-      setTimeout(resolve, POLL_MILLISECONDS);
+      setTimeout(resolve, POLL_INTERVAL_MILLISECONDS);
     });
   }
 }
--- a/packages/proxy/src/test/scriptedDatabase.ts
+++ b/packages/proxy/src/test/scriptedDatabase.ts
@@ -2,18 +2,18 @@
 import { DEFAULT_DATABASE_OPTIONS } from '@wisterialift/stand-in-database';
 import { onTestFinished } from 'vitest';
 
-/** A connection of the proxy, as the database sees it. */
+/** A proxy's connection to the scripted database. */
 export interface ScriptedConnection {
   connection: CallerConnection;
-  /** Called when the proxy has read what was sent. */
+  /** Called when the write buffer of the connection has drained. */
   onDrain: () => void;
 }
 
-/** Answers one query. */
-export type Script = (scripted: ScriptedConnection, sql: string) => void;
+/** Sends the answer to a query. */
+export type QueryHandler = (scripted: ScriptedConnection, sql: string) => void;
 
-/** A group of one primary whose answers a test writes byte by byte. */
-export async function startScriptedDatabase(script: Script): Promise<{ port: number }> {
+/** Starts the primary of a group of one member, with answers written by the test. */
+export async function startScriptedDatabase(handleQuery: QueryHandler): Promise<{ port: number }> {
   const status = {
     member: 'a1',
     role: 'primary',
@@ -36,7 +36,7 @@
           if (command.type !== 'query') connection.finishOk({});
           else if (command.sql === 'SHOW GROUP STATUS') {
             connection.finishResult({ columns: ['status'], rows: [[JSON.stringify(status)]] });
-          } else script(scripted, command.sql);
+          } else handleQuery(scripted, command.sql);
         },
         onDrain: () => scripted.onDrain(),
         onClosed: () => connections.delete(connection),
@@ -54,32 +54,32 @@
 const EOF_PAYLOAD = Buffer.from([0xfe, 0, 0, 2, 0]);
 const ROW_BYTES = 200;
 
-/** Sends rows of text one after the other, as long as the proxy takes them. */
-export function streamRows(
+/** Sends rows of text; waits while the write buffer of the connection is full. */
+export function sendRows(
   scripted: ScriptedConnection,
   count: number,
-  onProduced: (rows: number) => void,
+  onProgress: (rows: number) => void,
 ): void {
   const { connection } = scripted;
   const row = Buffer.concat([Buffer.from([ROW_BYTES]), Buffer.alloc(ROW_BYTES, 'r')]);
-  const start = [Buffer.from([1]), describeColumn('text'), EOF_PAYLOAD];
+  const start = [Buffer.from([1]), encodeColumnDefinition('text'), EOF_PAYLOAD];
   connection.writeFrames(start.map((payload, index) => toFrames(payload, index + 1)));
-  let produced = 0;
+  let sentCount = 0;
   const sendMore = (): void => {
-    while (produced < count && !connection.isFull) {
-      produced += 1;
-      connection.writeFrames([toFrames(row, start.length + produced)]);
+    while (sentCount < count && !connection.isFull) {
+      sentCount += 1;
+      connection.writeFrames([toFrames(row, start.length + sentCount)]);
     }
-    onProduced(produced);
-    if (produced < count) return;
+    onProgress(sentCount);
+    if (sentCount < count) return;
     Object.assign(scripted, { onDrain: () => {} });
-    connection.finish([toFrames(EOF_PAYLOAD, start.length + produced + 1)]);
+    connection.finish([toFrames(EOF_PAYLOAD, start.length + sentCount + 1)]);
   };
   Object.assign(scripted, { onDrain: sendMore });
   sendMore();
 }
 
-function describeColumn(name: string): Buffer {
+function encodeColumnDefinition(name: string): Buffer {
   const names = ['def', '', '', '', name, name].map((text) =>
     Buffer.concat([Buffer.from([text.length]), Buffer.from(text)]),
   );
--- a/packages/proxy/src/test/statements.test.ts
+++ b/packages/proxy/src/test/statements.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest';
-import { startStatements } from './statementsFixture';
+import { startStatementPath } from './statementsFixture';
 
 const BLOB = Buffer.from(Array.from({ length: 700 }, (_, index) => index % 256));
 
@@ -9,7 +9,7 @@
   result: Buffer | null;
 }
 
-/** The same steps with each driver. */
+/** Operations common to the drivers. */
 interface Driver {
   query: (sql: string, values?: unknown[]) => Promise<unknown>;
   execute: (sql: string, values?: unknown[]) => Promise<unknown>;
@@ -18,7 +18,7 @@
   rollback: () => Promise<void>;
 }
 
-type Fixture = Awaited<ReturnType<typeof startStatements>>;
+type Fixture = Awaited<ReturnType<typeof startStatementPath>>;
 
 const drivers: Record<string, (fixture: Fixture) => Promise<Driver>> = {
   mysql2: async ({ connect }) => {
@@ -43,19 +43,16 @@
   },
 };
 
-/**
- * A limit that no statement here reaches, on however busy a machine: one that passes while a read runs
- * is answered "discarded", as the test of that answer shows.
- */
-const PATIENT = { default: { deadlineMilliseconds: 600_000 } };
+/** A read that exceeds its deadline fails, so the deadline must hold on a heavily loaded machine. */
+const LONG_DEADLINE_KINDS = { default: { deadlineMilliseconds: 600_000 } };
 
 describe.each(Object.keys(drivers))('statements of %s', (name) => {
   const open = async () => {
-    const fixture = await startStatements({ kinds: PATIENT });
+    const fixture = await startStatementPath({ kinds: LONG_DEADLINE_KINDS });
     return (drivers[name] as (fixture: Fixture) => Promise<Driver>)(fixture);
   };
 
-  it('come through whole: text, prepared, NULL, binary, many rows', async () => {
+  it('return complete results: text, prepared, NULL, binary, many rows', async () => {
     const { query, execute } = await open();
     await query('INSERT INTO tests (name, result) VALUES (?, NULL)', ["it's ünïcode ✓"]);
     await execute('INSERT INTO tests (name, result) VALUES (?, ?)', [null, BLOB]);
@@ -76,7 +73,7 @@
     ).toBe(true);
   });
 
-  it('get the errors of the database with their code', async () => {
+  it('fail with the error code of the database', async () => {
     const { query, execute } = await open();
     await query("INSERT INTO tests (id, name) VALUES (1, 'a')");
     const duplicate = { errno: 1062, sqlState: '23000' };
@@ -91,7 +88,7 @@
     expect(await query('SELECT COUNT(*) AS count FROM tests')).toHaveLength(1);
   });
 
-  it('run in a transaction that is kept or undone as a whole', async () => {
+  it('are committed or rolled back with their transaction', async () => {
     const { query, execute, begin, commit, rollback } = await open();
     await begin();
     await query("INSERT INTO tests (name) VALUES ('undone')");
--- a/packages/proxy/src/test/statementsFailures.test.ts
+++ b/packages/proxy/src/test/statementsFailures.test.ts
@@ -7,40 +7,40 @@
 import {
   GROUP,
   OTHER_GROUP,
-  startStatements,
+  startStatementPath,
   waitUntil,
-  waitUntilSteady,
+  waitUntilStable,
   type MemberName,
 } from './statementsFixture';
-import { startScriptedDatabase, streamRows } from './scriptedDatabase';
+import { startScriptedDatabase, sendRows } from './scriptedDatabase';
 
-const header = (length: number, sequence: number): Buffer => {
+const createPacketHeader = (length: number, sequence: number): Buffer => {
   const buffer = Buffer.alloc(4);
   buffer.writeUIntLE(length, 0, 3);
   buffer.writeUInt8(sequence, 3);
   return buffer;
 };
 
-/** A whole login of a caller that nobody knows: flags, packet size, character set, name, no password. */
+/** Login payload of an unknown caller: flags, packet size, character set, name, no password. */
 const LOGIN = Buffer.concat([
   Buffer.from([0x00, 0x82, 0x00, 0x00, 0, 0, 0, 1, 45]),
   Buffer.alloc(23),
   Buffer.from('nobody\0\0'),
 ]);
 
-/** What mysql2 makes of session-track data; its types leave it out. */
-interface TrackedAnswer {
+/** Session-track data as parsed by mysql2, whose type declarations omit it. */
+interface SessionTrackAnswer {
   stateChanges: { systemVariables: Record<string, string> };
 }
 
-const closed = (socket: { once: (event: 'close', listener: () => void) => unknown }) =>
+const waitUntilClosed = (socket: { once: (event: 'close', listener: () => void) => unknown }) =>
   new Promise<void>((resolve) => {
     socket.once('close', resolve);
   });
 
 describe('a login', () => {
-  it('is refused with the reason and its code', async () => {
-    const { connect, port } = await startStatements({ connectionLimit: 2 });
+  it('fails with the error code of the reason', async () => {
+    const { connect, port } = await startStatementPath({ connectionLimit: 2 });
     await expect(connect({ password: 'wrong' })).rejects.toMatchObject({ errno: 1045 });
     await expect(connect({ password: '' })).rejects.toMatchObject({ errno: 1045 });
     await expect(connect({ user: 'nobody' })).rejects.toMatchObject({ errno: 1045 });
@@ -56,9 +56,9 @@
     expect(port).toBeGreaterThan(0);
   });
 
-  // A caller without a group, or with one that it may not use, asks all the same.
-  it('confines the caller to its groups afterwards too', async () => {
-    const { connect } = await startStatements();
+  // A login without a group must not give access to all groups.
+  it('does not allow other groups afterwards', async () => {
+    const { connect } = await startStatementPath();
     const connection = await connect({ database: undefined });
     await expect(connection.query('SELECT 1')).rejects.toMatchObject({ errno: 1046 });
     await expect(connection.query(`USE \`${OTHER_GROUP}\``)).rejects.toMatchObject({ errno: 1044 });
@@ -68,41 +68,52 @@
   });
 });
 
-describe('a bad packet', () => {
-  // One broken or hostile client sends bytes that are no packet, or a header that announces 16 MB.
-  // Read on, they would be taken for statements, or fill the memory of every caller's proxy.
+describe('an invalid packet', () => {
+  // Guards against running garbage as statements and against buffering a packet of any announced size.
   it.each([
-    ['garbage in place of a login', Buffer.alloc(3_000, 0xff), 1153],
-    ['a login out of order', Buffer.concat([header(LOGIN.length, 7), LOGIN]), undefined],
-    ['a cut login', Buffer.concat([header(3, 1), Buffer.from('abc')]), undefined],
-    ['an announced login of 16 MB', header(0xff_ffff, 1), 1153],
-    ['an empty login', header(0, 1), undefined],
+    ['garbage instead of a login', Buffer.alloc(3_000, 0xff), 1153],
+    [
+      'a login with a wrong sequence number',
+      Buffer.concat([createPacketHeader(LOGIN.length, 7), LOGIN]),
+      undefined,
+    ],
+    ['a truncated login', Buffer.concat([createPacketHeader(3, 1), Buffer.from('abc')]), undefined],
+    ['a login header with a length of 16 MB', createPacketHeader(0xff_ffff, 1), 1153],
+    ['an empty login', createPacketHeader(0, 1), undefined],
   ])('closes its own connection alone: %s', async (_name, bytes, errno) => {
-    const { connect, connectRaw } = await startStatements();
+    const { connect, connectRaw } = await startStatementPath();
     const connection = await connect();
     const socket = await connectRaw();
     const answers: Buffer[] = [];
     socket.on('data', (answer) => answers.push(answer));
     socket.write(bytes);
-    await closed(socket);
+    await waitUntilClosed(socket);
     expect(answers.map((answer) => answer.readUInt16LE(5))).toEqual(errno ? [errno] : []);
     expect((await connection.query('SELECT 1 AS one'))[0]).toEqual([{ one: 1 }]);
   });
 
   it.each([
-    ['a number out of order', Buffer.concat([header(1, 5), Buffer.from([0x0e])]), 1835],
-    ['an empty command', header(0, 0), 1835],
-    ['a cut execute', Buffer.concat([header(2, 0), Buffer.from([0x17, 1])]), 1835],
-    ['an announced command above the limit', header(70_000, 0), 1153],
+    [
+      'a wrong sequence number',
+      Buffer.concat([createPacketHeader(1, 5), Buffer.from([0x0e])]),
+      1835,
+    ],
+    ['an empty command', createPacketHeader(0, 0), 1835],
+    [
+      'a truncated execute',
+      Buffer.concat([createPacketHeader(2, 0), Buffer.from([0x17, 1])]),
+      1835,
+    ],
+    ['a command header with a length above the limit', createPacketHeader(70_000, 0), 1153],
   ])('closes its own connection alone: %s', async (_name, bytes, errno) => {
-    const { connect } = await startStatements({ limits: { maximumPacketBytes: 65_536 } });
+    const { connect } = await startStatementPath({ limits: { maximumPacketBytes: 65_536 } });
     const connection = await connect();
-    const bad = await connect();
+    const faulty = await connect();
     const errors: Error[] = [];
-    bad.on('error', (error: Error) => errors.push(error));
-    const { stream } = (bad as unknown as { connection: { stream: import('node:net').Socket } })
+    faulty.on('error', (error: Error) => errors.push(error));
+    const { stream } = (faulty as unknown as { connection: { stream: import('node:net').Socket } })
       .connection;
-    const ended = closed(stream);
+    const ended = waitUntilClosed(stream);
     stream.write(bytes);
     await ended;
     expect(errors).toMatchObject([{ code: errno }]);
@@ -111,12 +122,11 @@
 });
 
 describe('answers', () => {
-  // Many callers ask at the same time and share a few connections: an answer that is handed to the
-  // wrong one shows as somebody else's rows.
-  it('go to the caller who asked, whatever their order', async () => {
-    const { connect } = await startStatements();
+  // Callers share upstream connections, so an answer could reach the wrong caller.
+  it('reach the caller that sent the query, in any order of completion', async () => {
+    const { connect } = await startStatementPath();
     const connections = await Promise.all(Array.from({ length: 12 }, () => connect()));
-    const asks = connections.flatMap((connection, caller) =>
+    const queries = connections.flatMap((connection, caller) =>
       Array.from({ length: 20 }, async (_, turn) => {
         const value = `${caller}-${turn}-${'x'.repeat((caller * 37 * turn) % 9_000)}`;
         const [rows] =
@@ -126,21 +136,20 @@
         return { rows, value };
       }),
     );
-    (await Promise.all(asks)).forEach(({ rows, value }) => expect(rows).toEqual([{ value }]));
+    (await Promise.all(queries)).forEach(({ rows, value }) => expect(rows).toEqual([{ value }]));
   });
 
-  // A database answers after the deadline. Were its connection used again, the next caller on it
-  // would get the late answer as its own.
-  it("that come late are nobody else's", async () => {
-    const { connect, setFaultsEverywhere, path } = await startStatements({
-      kinds: { hasty: { deadlineMilliseconds: 150 } },
+  // If the connection were reused, its next caller would receive the late answer.
+  it('that arrive after the deadline do not reach another caller', async () => {
+    const { connect, setFaultsOnAllMembers, path } = await startStatementPath({
+      kinds: { short: { deadlineMilliseconds: 150 } },
     });
     const connection = await connect();
     await connection.query('SELECT 1');
-    await setFaultsEverywhere({ serviceMilliseconds: 600 });
-    const late = connection.query("/* wisterialift kind=hasty */ SELECT 'late' AS value");
+    await setFaultsOnAllMembers({ serviceMilliseconds: 600 });
+    const late = connection.query("/* wisterialift kind=short */ SELECT 'late' AS value");
     await expect(late).rejects.toMatchObject({ errno: 9103, sqlState: '40000' });
-    await setFaultsEverywhere({ serviceMilliseconds: 0 });
+    await setFaultsOnAllMembers({ serviceMilliseconds: 0 });
     for (let turn = 0; turn < 5; turn += 1) {
       const [rows] = await connection.query(`SELECT 'turn ${turn}' AS value`);
       expect(rows).toEqual([{ value: `turn ${turn}` }]);
@@ -148,14 +157,13 @@
     expect(path.connectionCounts().callers).toBe(1);
   });
 
-  // A replica freezes with a read in it. The engine takes the read away and waits to hear that the
-  // attempt is lost before it sends it elsewhere; unheard, the caller waits for its whole deadline.
-  it('come from another member when the first one freezes', async () => {
-    const { connect, setFaults, records } = await startStatements({
-      kinds: { patient: { deadlineMilliseconds: 600_000 } },
+  // The engine retries a read only after the group task has reported the first attempt as lost.
+  it('come from another member if the first one stops responding', async () => {
+    const { connect, setFaults, records } = await startStatementPath({
+      kinds: { long: { deadlineMilliseconds: 600_000 } },
     });
     const connection = await connect();
-    await connection.query("SET wisterialift_kind = 'patient', wisterialift_roaming = 0");
+    await connection.query("SET wisterialift_kind = 'long', wisterialift_roaming = 0");
     await connection.query('SELECT 1');
     const routed = records.findLast((record) => record.name === 'readRouted');
     const member = routed?.name === 'readRouted' ? (routed.member as MemberName) : 'a1';
@@ -163,38 +171,37 @@
     expect((await connection.query('SELECT 2 AS two'))[0]).toEqual([{ two: 2 }]);
   });
 
-  // The primary applies a write and its answer is lost on the way.
-  it('that are lost after a write leave the outcome unknown, never "not run"', async () => {
-    const { connect, setFaults, rowsAt } = await startStatements();
+  // The primary applies the write, but its answer does not reach the proxy.
+  it('lost after a write are reported as unknown, not as "not run"', async () => {
+    const { connect, setFaults, readRows } = await startStatementPath();
     const connection = await connect();
     await setFaults('a1', { loseNextAnswers: 1 });
     const write = connection.query("INSERT INTO tests (name) VALUES ('unsure')");
     await expect(write).rejects.toMatchObject({ errno: 9102, sqlState: '08007' });
-    expect(JSON.stringify(await rowsAt('a1', 'SELECT name FROM tests'))).toContain('unsure');
+    expect(JSON.stringify(await readRows('a1', 'SELECT name FROM tests'))).toContain('unsure');
   });
 
-  // An officer's screen reads slowly from a long history. The proxy must neither keep the rest in
-  // its memory nor lose a row.
-  it('wait at the database while the caller does not read', async () => {
+  // Backpressure: a slow caller must not make the proxy buffer the whole result or lose rows.
+  it('pause at the database while the caller does not read', async () => {
     const rowCount = 200_000;
-    let produced = 0;
+    let sentCount = 0;
     const { port: scriptedPort } = await startScriptedDatabase((scripted) => {
-      streamRows(scripted, rowCount, (rows) => {
-        produced = rows;
+      sendRows(scripted, rowCount, (rows) => {
+        sentCount = rows;
       });
     });
-    const { connect } = await startStatements({
+    const { connect } = await startStatementPath({
       scriptedPort,
-      kinds: { patient: { deadlineMilliseconds: 600_000 } },
+      kinds: { long: { deadlineMilliseconds: 600_000 } },
     });
     const { connection } = (await connect()) as unknown as { connection: CallbackConnection };
-    const sql = '/* wisterialift kind=patient */ SELECT text FROM big';
+    const sql = '/* wisterialift kind=long */ SELECT text FROM big';
     const rows = connection.query(sql).stream({ highWaterMark: 10 });
     let received = 0;
     rows.once('data', () => rows.pause());
-    await waitUntil(() => produced > 0);
-    await waitUntilSteady(() => produced);
-    expect(produced).toBeLessThan(rowCount / 2);
+    await waitUntil(() => sentCount > 0);
+    await waitUntilStable(() => sentCount);
+    expect(sentCount).toBeLessThan(rowCount / 2);
     for await (const row of rows) {
       if ((row as { text: string }).text.length === 200) received += 1;
     }
@@ -203,27 +210,27 @@
 });
 
 describe('a transaction', () => {
-  // Two technicians write at the same time. Each has a transaction of its own, and what one undoes
-  // must not take the other's record with it.
-  it('never shares its connection with another', async () => {
-    const { connect, rowsAt } = await startStatements();
+  // The rollback of one transaction must not affect a concurrent one.
+  it('has exclusive use of its connection', async () => {
+    const { connect, readRows } = await startStatementPath();
     const [first, second] = await Promise.all([connect(), connect()]);
     await first.beginTransaction();
     await first.query("INSERT INTO tests (name) VALUES ('first')");
-    const begun = second.beginTransaction();
-    const written = begun.then(() => second.query("INSERT INTO tests (name) VALUES ('second')"));
+    const secondBegin = second.beginTransaction();
+    const secondInsert = secondBegin.then(() =>
+      second.query("INSERT INTO tests (name) VALUES ('second')"),
+    );
     await expect(first.query('CREATE TABLE t (id INT)')).rejects.toMatchObject({ errno: 1179 });
     await first.rollback();
-    await written;
+    await secondInsert;
     await second.commit();
-    expect(JSON.stringify(await rowsAt('a1', 'SELECT name FROM tests'))).toMatch(
+    expect(JSON.stringify(await readRows('a1', 'SELECT name FROM tests'))).toMatch(
       /^(?!.*first).*second/,
     );
   });
 
-  // A technician's device goes dark in the middle of a transaction.
-  it('is rolled back when its caller disconnects, and its place is free again', async () => {
-    const { connect, rowsAt, path } = await startStatements();
+  it('is rolled back and frees its connection when its caller disconnects', async () => {
+    const { connect, readRows, path } = await startStatementPath();
     for (let turn = 0; turn < 8; turn += 1) {
       const connection = await connect();
       await connection.beginTransaction();
@@ -233,45 +240,43 @@
     }
     const connection = await connect();
     await connection.query("INSERT INTO tests (name) VALUES ('stays')");
-    expect(JSON.stringify(await rowsAt('a1', 'SELECT name FROM tests'))).toMatch(
+    expect(JSON.stringify(await readRows('a1', 'SELECT name FROM tests'))).toMatch(
       /^(?!.*gone).*stays/,
     );
   });
 
-  // The connection to the database ends in the middle. A statement that then went out by itself would
-  // be kept although the rest of its transaction is gone.
-  it('that lost its connection takes no more statements until its caller ends it', async () => {
-    const { connect, setFaults, rowsAt } = await startStatements({
-      kinds: { hasty: { deadlineMilliseconds: 150 } },
+  // Otherwise later statements would be committed without the part that was rolled back.
+  it('that lost its connection refuses statements until its caller ends it', async () => {
+    const { connect, setFaults, readRows } = await startStatementPath({
+      kinds: { short: { deadlineMilliseconds: 150 } },
     });
     const connection = await connect();
     await connection.beginTransaction();
     await connection.query("INSERT INTO tests (name) VALUES ('lost')");
     await setFaults('a1', { frozen: true });
-    const cut = connection.query(
-      "/* wisterialift kind=hasty */ INSERT INTO tests (name) VALUES ('cut')",
+    const failedInsert = connection.query(
+      "/* wisterialift kind=short */ INSERT INTO tests (name) VALUES ('cut')",
     );
-    await expect(cut).rejects.toMatchObject({ errno: 9103, sqlState: '40000' });
+    await expect(failedInsert).rejects.toMatchObject({ errno: 9103, sqlState: '40000' });
     await setFaults('a1', { frozen: false });
     const alone = connection.query("INSERT INTO tests (name) VALUES ('alone')");
     await expect(alone).rejects.toMatchObject({ errno: 9103 });
     await expect(connection.commit()).rejects.toMatchObject({ errno: 9103 });
     await connection.query("INSERT INTO tests (name) VALUES ('after')");
-    expect(JSON.stringify(await rowsAt('a1', 'SELECT name FROM tests'))).toMatch(
+    expect(JSON.stringify(await readRows('a1', 'SELECT name FROM tests'))).toMatch(
       /^(?!.*(lost|cut|alone)).*after/,
     );
   });
 
-  // Two technicians' writes deadlock, and the database rolls one transaction back as a whole. What its
-  // caller still sends would be kept statement by statement, without the part that is gone.
-  it('that the database rolled back takes no more statements either', async () => {
+  // After a deadlock error, later statements would be committed without the part that was rolled back.
+  it('that the database rolled back refuses statements until its caller ends it', async () => {
     const seen: string[] = [];
     const { port: scriptedPort } = await startScriptedDatabase(({ connection }, sql) => {
       seen.push(sql);
       if (sql !== 'UPDATE tests') connection.finishOk({});
       else connection.finishError({ code: 1213, state: '40001', message: 'Deadlock found' });
     });
-    const { connect } = await startStatements({ scriptedPort });
+    const { connect } = await startStatementPath({ scriptedPort });
     const connection = await connect();
     await connection.beginTransaction();
     await expect(connection.query('UPDATE tests')).rejects.toMatchObject({ errno: 1213 });
@@ -281,8 +286,7 @@
     expect(seen).toEqual(['START TRANSACTION', 'UPDATE tests', 'DELETE FROM tests']);
   });
 
-  // A statement that the proxy takes for harmless makes the database commit. Its writes would count as
-  // acknowledged although no majority has confirmed them.
+  // An implicit commit would otherwise be acknowledged without confirmation by a majority.
   it('that the database committed before COMMIT has an unknown outcome', async () => {
     const position = Buffer.from([3, 5, 0, 3, ...Buffer.from('1:7')]);
     const ok = Buffer.from([0, 0, 0, 2, 0x40, 0, 0, 0, position.length, ...position]);
@@ -290,7 +294,7 @@
       if (sql === 'UPDATE tests') connection.finish([toFrames(ok, 1)]);
       else connection.finishOk({});
     });
-    const { connect } = await startStatements({ scriptedPort });
+    const { connect } = await startStatementPath({ scriptedPort });
     const connection = await connect();
     await connection.beginTransaction();
     await expect(connection.query('UPDATE tests')).rejects.toMatchObject({ errno: 9102 });
@@ -298,7 +302,7 @@
   });
 
   it('whose COMMIT lost its answer has an unknown outcome', async () => {
-    const { connect, setFaults } = await startStatements();
+    const { connect, setFaults } = await startStatementPath();
     const connection = await connect();
     await connection.beginTransaction();
     await connection.query("INSERT INTO tests (name) VALUES ('unsure')");
@@ -309,11 +313,11 @@
 });
 
 describe('a session', () => {
-  it('gets its token with each write and reads by it', async () => {
-    const { connect, setFaults, records } = await startStatements();
+  it('receives a token with each write and reads at least that position', async () => {
+    const { connect, setFaults, records } = await startStatementPath();
     const connection = await connect();
     const [written] = await connection.query("INSERT INTO tests (name) VALUES ('mine')");
-    const { stateChanges } = written as unknown as TrackedAnswer;
+    const { stateChanges } = written as unknown as SessionTrackAnswer;
     const token = stateChanges.systemVariables.wisterialift_token;
     expect(token).toMatch(/^w1\./);
     expect((await connection.query('SELECT @@wisterialift_token AS token'))[0]).toEqual([
@@ -332,8 +336,8 @@
     expect(records.findLast(({ name }) => name === 'readRouted')).toMatchObject({ by: 'token' });
   });
 
-  it('is told of a bad token, kind or variable before anything runs', async () => {
-    const { connect, observations } = await startStatements();
+  it('rejects an invalid token, kind or variable before a request is created', async () => {
+    const { connect, observations } = await startStatementPath();
     const connection = await connect();
     const token = encodeToken([{ group: GROUP, position: { term: 1, index: 2 } }]);
     const refused: [string, number][] = [
@@ -356,10 +360,8 @@
 });
 
 describe('a change of the configuration', () => {
-  // An operator removes a caller that is in the middle of a transaction. The request in flight ends
-  // as it was going to; only then is the connection closed.
-  it('closes the connection of a removed caller once its work is done', async () => {
-    const { connect, path, configuration, rowsAt } = await startStatements();
+  it('closes the connection of a removed caller after its open transaction', async () => {
+    const { connect, path, configuration, readRows } = await startStatementPath();
     const connection = await connect();
     const idle = await connect();
     await connection.beginTransaction();
@@ -371,34 +373,33 @@
     await waitUntil(() => path.connectionCounts().callers === 0);
     await expect(idle.query('SELECT 1')).rejects.toBeDefined();
     await expect(connect()).rejects.toMatchObject({ errno: 1045 });
-    expect(JSON.stringify(await rowsAt('a1', 'SELECT name FROM tests'))).toContain('finished');
+    expect(JSON.stringify(await readRows('a1', 'SELECT name FROM tests'))).toContain('finished');
   });
 });
 
 describe('a graceful stop', () => {
-  // A planned stop while callers work. Statements and transactions in flight, and statements that were
-  // on their way, end with their answers. A caller that goes on and on is told "not run" in place of
-  // an answer; it never sees a connection that breaks.
-  it('cuts no request in flight', async () => {
-    const { connect, path, setFaultsEverywhere, rowsAt } = await startStatements();
+  // Requests and transactions in flight complete; later statements fail with "not run" instead of a
+  // connection error.
+  it('does not interrupt requests in flight', async () => {
+    const { connect, path, setFaultsOnAllMembers, readRows } = await startStatementPath();
     const [reader, writer, busy] = await Promise.all([connect(), connect(), connect()]);
     await writer.beginTransaction();
-    await setFaultsEverywhere({ serviceMilliseconds: 50 });
+    await setFaultsOnAllMembers({ serviceMilliseconds: 50 });
     const read = reader.query("SELECT 'whole' AS answer");
     const drained = path.drain();
-    const lastAnswer = askUntilRefused(busy);
+    const lastAnswer = queryUntilRefused(busy);
     await writer.query("INSERT INTO tests (name) VALUES ('kept')");
     await writer.commit();
     expect((await read)[0]).toEqual([{ answer: 'whole' }]);
     expect(await lastAnswer).toMatchObject({ errno: 9101, sqlState: '08004' });
     await drained;
     expect(path.connectionCounts().callers).toBe(0);
-    expect(JSON.stringify(await rowsAt('a1', 'SELECT name FROM tests'))).toContain('kept');
+    expect(JSON.stringify(await readRows('a1', 'SELECT name FROM tests'))).toContain('kept');
     await expect(connect()).rejects.toMatchObject({ code: 'ECONNREFUSED' });
   });
 });
 
-async function askUntilRefused(connection: Connection): Promise<unknown> {
+async function queryUntilRefused(connection: Connection): Promise<unknown> {
   for (;;) {
     try {
       await connection.query('SELECT 1');
--- a/packages/proxy/src/test/statementsFixture.ts
+++ b/packages/proxy/src/test/statementsFixture.ts
@@ -24,12 +24,12 @@
 import { createStatementPath, type StatementPath } from '../lib/statements/statementPath';
 
 export const GROUP = 'archivio-luci-1';
-/** A group of the configuration that the caller may not reach. */
+/** A configured group that the caller may not use. */
 export const OTHER_GROUP = 'archivio-luci-2';
 export const CALLER = 'luce';
 export const PASSWORD = 'secret';
 
-/** A proxy's statement path in front of a group of three databases. */
+/** A statement path with an upstream group of three databases. */
 export interface StatementsFixture {
   path: StatementPath;
   port: number;
@@ -39,12 +39,12 @@
   /** Connects with mysql2. */
   connect: (options?: Partial<ConnectionOptions>) => Promise<Connection>;
   connectMariadb: () => Promise<MariadbConnection>;
-  /** A socket that speaks no protocol of its own. */
+  /** Opens a TCP connection; resolves after the server's greeting. */
   connectRaw: () => Promise<Socket>;
   setFaults: (member: MemberName, faults: Partial<FaultSettings>) => Promise<void>;
-  setFaultsEverywhere: (faults: Partial<FaultSettings>) => Promise<void>;
-  /** Rows that a member has committed. */
-  rowsAt: (member: MemberName, sql: string) => Promise<unknown>;
+  setFaultsOnAllMembers: (faults: Partial<FaultSettings>) => Promise<void>;
+  /** Reads rows from a member's committed data. */
+  readRows: (member: MemberName, sql: string) => Promise<unknown>;
 }
 
 export interface FixtureOptions {
@@ -52,7 +52,7 @@
   connectionLimit?: number;
   limits?: Partial<Settings['limits']>;
   callerTls?: CallerTls;
-  /** In place of the three databases, one that answers as a test says. */
+  /** Port of a scripted database to use in place of the three databases. */
   scriptedPort?: number;
 }
 
@@ -61,27 +61,27 @@
 const SCHEMA_SQL = `CREATE TABLE tests (id INTEGER PRIMARY KEY AUTO_INCREMENT, name VARCHAR(100), result BLOB);
   CREATE TABLE big (id INTEGER PRIMARY KEY, text VARCHAR(100))`;
 
-/** Starts the databases and the statement path; both end with the test. */
-export async function startStatements(options: FixtureOptions = {}): Promise<StatementsFixture> {
+/** Starts the databases and the statement path; both are stopped after the test. */
+export async function startStatementPath(options: FixtureOptions = {}): Promise<StatementsFixture> {
   const databases = options.scriptedPort === undefined ? await startDatabases() : undefined;
   const ports = Object.entries(databases ?? { a1: { port: options.scriptedPort ?? 0 } });
   const { user, password } = DEFAULT_DATABASE_OPTIONS;
   const configuration = configurationSchema.parse({
     groups: {
       [GROUP]: {
-        databases: ports.map(([name, { port }]) => describeDatabase(name, port)),
+        databases: ports.map(([name, { port }]) => createDatabaseSettings(name, port)),
         user,
         password,
       },
-      [OTHER_GROUP]: { databases: [describeDatabase('b1', 1)], user, password },
+      [OTHER_GROUP]: { databases: [createDatabaseSettings('b1', 1)], user, password },
     },
     callers: {
       [CALLER]: {
-        passwordHash: hashOf(PASSWORD),
+        passwordHash: hashPassword(PASSWORD),
         groups: [GROUP],
         connectionLimit: options.connectionLimit ?? 100,
       },
-      other: { passwordHash: hashOf('other'), groups: [GROUP] },
+      other: { passwordHash: hashPassword('other'), groups: [GROUP] },
     },
     kinds: options.kinds ?? {},
   });
@@ -109,14 +109,14 @@
     connectMariadb: () => connectWithMariadb(port),
     connectRaw: () => connectRaw(port),
     setFaults: (member, faults) => setFaults(databases?.[member], faults),
-    setFaultsEverywhere: async (faults) => {
+    setFaultsOnAllMembers: async (faults) => {
       await Promise.all(ports.map(([name]) => setFaults(databases?.[name as MemberName], faults)));
     },
-    rowsAt: (member, sql) => rowsAt(databases?.[member], sql),
+    readRows: (member, sql) => readRows(databases?.[member], sql),
   };
 }
 
-/** Waits for a condition, without a time that a busy machine could miss. */
+/** Polls a condition; relies on the timeout of the test. */
 export async function waitUntil(condition: () => boolean | Promise<boolean>): Promise<void> {
   while (!(await condition())) {
     await new Promise((resolve) => {
@@ -125,8 +125,8 @@
   }
 }
 
-/** Waits until a number no longer changes. */
-export async function waitUntilSteady(read: () => number): Promise<void> {
+/** Polls a number until it has stopped changing. */
+export async function waitUntilStable(read: () => number): Promise<void> {
   let last = Number.NaN;
   let unchanged = 0;
   await waitUntil(() => {
@@ -136,7 +136,7 @@
   });
 }
 
-function describeDatabase(name: string, port: number) {
+function createDatabaseSettings(name: string, port: number) {
   const dataCentre = `${name}-dc`;
   return { name, host: '127.0.0.1', port, dataCentre, connectionLimit: 30, slots: 5 };
 }
@@ -204,7 +204,7 @@
   return socket;
 }
 
-function hashOf(password: string): string {
+function hashPassword(password: string): string {
   const sha1 = (data: Buffer): Buffer => createHash('sha1').update(data).digest();
   return sha1(sha1(Buffer.from(password))).toString('hex');
 }
@@ -221,7 +221,7 @@
   if (!response.ok) throw new Error(await response.text());
 }
 
-async function rowsAt(database: StandInDatabase | undefined, sql: string): Promise<unknown> {
+async function readRows(database: StandInDatabase | undefined, sql: string): Promise<unknown> {
   const response = await fetch(
     `http://127.0.0.1:${database?.controlPort}/rows?sql=${encodeURIComponent(sql)}`,
   );
