--- a/packages/proxy/src/lib/process/requestMetrics.ts
+++ b/packages/proxy/src/lib/process/requestMetrics.ts
@@ -20,14 +20,14 @@
     const { group, kind, access, status, latencyMilliseconds } = observation;
     recorder.record({ group, kind, access }, latencyMilliseconds);
     counters.record(
-      { group, kind, isAnswered: status === 'done', latencyMilliseconds },
+      { group, kind, isSuccessful: status === 'done', latencyMilliseconds },
       Date.now(),
     );
   }
 
   return {
     observe,
-    setServiceLevels: counters.setLevels,
+    setServiceLevels: counters.setServiceLevels,
     burnSeries: () => counters.series(Date.now()),
     latencies: recorder.summaries,
   };
--- a/packages/telemetry/src/index.ts
+++ b/packages/telemetry/src/index.ts
@@ -1,7 +1,12 @@
 export * from './log';
 export * from './latency';
 export { BUCKET_COUNT, BUCKET_MILLISECONDS, createBurnCounters } from './lib/burn/burnCounters';
-export type { BurnBucket, BurnCounters, BurnSeries, JudgedRequest } from './lib/burn/burnCounters';
+export type {
+  BurnBucket,
+  BurnCounters,
+  BurnSeries,
+  MeasuredRequest,
+} from './lib/burn/burnCounters';
 export { BURN_WINDOWS_MINUTES, createBurnReport } from './lib/burn/burnReport';
 export type {
   BurnAlarm,
--- a/packages/telemetry/src/lib/burn/burnCounters.ts
+++ b/packages/telemetry/src/lib/burn/burnCounters.ts
@@ -6,23 +6,23 @@
 /** Buckets kept for each service level: six hours. @public */
 export const BUCKET_COUNT = 2_160;
 
-/** A request as service levels judge it. @public */
-export interface JudgedRequest {
+/** A finished request, to be classified by service levels. @public */
+export interface MeasuredRequest {
   group: string;
   kind: string;
-  /** False when the system answered with an error of its own. */
-  isAnswered: boolean;
+  /** False if the proxy itself answered with an error. */
+  isSuccessful: boolean;
   latencyMilliseconds: number;
 }
 
-/** Requests of one bucket. `bucket` counts buckets since the clock's zero. @public */
+/** Request counts of one bucket. `bucket` is the bucket number since the epoch. @public */
 export interface BurnBucket {
   bucket: number;
   good: number;
   bad: number;
 }
 
-/** The counts of one service level at one instance. @public */
+/** Counts of one service level at one instance. @public */
 export interface BurnSeries {
   level: ServiceLevel;
   buckets: BurnBucket[];
@@ -30,9 +30,9 @@
 
 /** @public */
 export interface BurnCounters {
-  setLevels: (levels: readonly ServiceLevel[]) => void;
-  /** @param now - milliseconds since the epoch, so that instances can be added up. */
-  record: (request: JudgedRequest, now: number) => void;
+  setServiceLevels: (levels: readonly ServiceLevel[]) => void;
+  /** @param now - milliseconds since the epoch, so that buckets of instances can be merged. */
+  record: (request: MeasuredRequest, now: number) => void;
   series: (now: number) => BurnSeries[];
 }
 
@@ -41,22 +41,21 @@
   buckets: BurnBucket[];
 }
 
-/** Names the requests that a level judges. */
 function requestKey(request: { group: string; kind: string }): string {
   return `${request.group}/${request.kind}`;
 }
 
 /**
- * Counts good and bad requests for each service level in a ring of buckets.
+ * Counts good and bad requests of each service level in buckets and drops the oldest buckets.
  *
- * A change of the configuration keeps the counts of every level whose definition stayed the same.
+ * A configuration change keeps the counts of levels with an unchanged definition.
  *
  * @public
  */
 export function createBurnCounters(): BurnCounters {
   let countersByKey = new Map<string, LevelCounters[]>();
 
-  function setLevels(levels: readonly ServiceLevel[]): void {
+  function setServiceLevels(levels: readonly ServiceLevel[]): void {
     const kept = new Map<string, LevelCounters>();
     [...countersByKey.values()].flat().forEach((counters) => {
       kept.set(JSON.stringify(counters.level), counters);
@@ -69,9 +68,9 @@
     countersByKey = next;
   }
 
-  function record(request: JudgedRequest, now: number): void {
-    const judging = countersByKey.get(requestKey(request));
-    judging?.forEach((counters) => {
+  function record(request: MeasuredRequest, now: number): void {
+    const matching = countersByKey.get(requestKey(request));
+    matching?.forEach((counters) => {
       const current = currentBucket(counters, now);
       if (isGood(request, counters.level)) current.good += 1;
       else current.bad += 1;
@@ -86,21 +85,21 @@
     }));
   }
 
-  return { setLevels, record, series };
+  return { setServiceLevels, record, series };
 }
 
-function isGood(request: JudgedRequest, level: ServiceLevel): boolean {
-  return request.isAnswered && request.latencyMilliseconds <= level.latencyMilliseconds;
+function isGood(request: MeasuredRequest, level: ServiceLevel): boolean {
+  return request.isSuccessful && request.latencyMilliseconds <= level.latencyMilliseconds;
 }
 
-/** The bucket of this moment; buckets rise, so it is the last one or a new one behind it. */
+/** Returns the last bucket, or appends a new one if its time has passed. */
 function currentBucket(counters: LevelCounters, now: number): BurnBucket {
   const bucket = Math.floor(now / BUCKET_MILLISECONDS);
   const last = counters.buckets.at(-1);
-  // A clock that was set back keeps counting in the last bucket rather than opening an older one.
+  // If the clock was set back, counts in the last bucket to keep the buckets in order.
   if (last && last.bucket >= bucket) return last;
-  const opened: BurnBucket = { bucket, good: 0, bad: 0 };
-  counters.buckets.push(opened);
+  const created: BurnBucket = { bucket, good: 0, bad: 0 };
+  counters.buckets.push(created);
   if (counters.buckets.length > BUCKET_COUNT) counters.buckets.shift();
-  return opened;
+  return created;
 }
--- a/packages/telemetry/src/lib/burn/burnReport.ts
+++ b/packages/telemetry/src/lib/burn/burnReport.ts
@@ -4,16 +4,16 @@
 
 const MILLISECONDS_PER_MINUTE = 60_000;
 
-/** The windows of the report in minutes, shortest first. @public */
+/** Windows of the report in minutes, shortest first. @public */
 export const BURN_WINDOWS_MINUTES = [5, 30, 60, 360] as const;
 
-/** Points of the plotted history: one for each five minutes of six hours. */
+/** Points of the plotted history; covers six hours. */
 const HISTORY_POINTS = 72;
 const HISTORY_STEP_MINUTES = 5;
 
 /**
- * Burn over one window. A rate of 1 spends the error budget exactly by the end of the level's
- * period; `rate` is undefined where no request was judged.
+ * Burn over one window. A rate of 1 uses up the error budget exactly at the end of the period of
+ * the level; `rate` is undefined if there were no requests.
  *
  * @public
  */
@@ -32,7 +32,7 @@
   level: ServiceLevel;
   windows: BurnWindow[];
   alarm: BurnAlarm;
-  /** Burn rate of each five minutes of the last six hours, oldest first; undefined without requests. */
+  /** Burn rates of the last six hours in steps of five minutes, oldest first. */
   history: (number | undefined)[];
 }
 
@@ -40,12 +40,12 @@
 export interface BurnReport {
   generatedAt: string;
   instances: string[];
-  /** Instances that could not be asked; their requests are missing from the counts. */
+  /** Instances that did not answer; the counts do not include their requests. */
   missingInstances: string[];
   levels: BurnReportLevel[];
 }
 
-/** An alarm fires when both of its windows burn at least this fast. */
+/** An alarm fires when the burn rates of both windows reach `rate`. */
 interface AlarmRule {
   alarm: BurnAlarm;
   longMinutes: number;
@@ -53,7 +53,7 @@
   rate: number;
 }
 
-/** The usual pairs of a long and a short window: fast burn wakes somebody, slow burn files a ticket. */
+/** Multi-window burn-rate alerts: fast burn pages an operator, slow burn creates a ticket. */
 const ALARM_RULES: readonly AlarmRule[] = [
   { alarm: 'page', longMinutes: 60, shortMinutes: 5, rate: 14.4 },
   { alarm: 'ticket', longMinutes: 360, shortMinutes: 30, rate: 6 },
@@ -66,7 +66,7 @@
 }
 
 /**
- * Adds up the counts of several instances and works out the burn of each level.
+ * Sums the counts of several instances and calculates the burn of each level.
  *
  * @param options.now - milliseconds since the epoch.
  * @public
--- a/packages/telemetry/src/lib/burn/renderBurnPage.ts
+++ b/packages/telemetry/src/lib/burn/renderBurnPage.ts
@@ -4,8 +4,8 @@
 const PLOT_WIDTH = 720;
 const PLOT_HEIGHT = 120;
 
-/** Burn rate at the top of a plot when every point lies below it. */
-const LOWEST_PLOT_TOP = 2;
+/** Minimum burn rate at the top of a plot. */
+const MINIMUM_PLOT_TOP = 2;
 
 const STYLE = `
 body { font: 15px/1.5 system-ui, sans-serif; margin: 2rem; color: #1c2430; }
@@ -17,7 +17,7 @@
 svg { background: #f6f8fa; border: 1px solid #d5dbe3; }
 `;
 
-const ESCAPES: Record<string, string> = {
+const HTML_ESCAPES: Record<string, string> = {
   '&': '&amp;',
   '<': '&lt;',
   '>': '&gt;',
@@ -26,10 +26,10 @@
 };
 
 function escapeHtml(text: string): string {
-  return text.replace(/[&<>"']/g, (character) => ESCAPES[character] ?? character);
+  return text.replace(/[&<>"']/g, (character) => HTML_ESCAPES[character] ?? character);
 }
 
-/** Renders the report as one HTML page that needs no other file. @public */
+/** Renders the report as a self-contained HTML page. @public */
 export function renderBurnPage(report: BurnReport): string {
   const missing = report.missingInstances.map(escapeHtml).join(', ');
   return `<!doctype html>
@@ -69,10 +69,10 @@
 </section>`;
 }
 
-/** Plots the burn rate of six hours; a gap in the line is a time without requests. */
+/** Plots the burn rate of six hours; the line has gaps where there were no requests. */
 function renderPlot(history: readonly (number | undefined)[]): string {
-  const known = history.filter((rate) => rate !== undefined);
-  const top = Math.max(LOWEST_PLOT_TOP, ...known);
+  const rates = history.filter((rate) => rate !== undefined);
+  const top = Math.max(MINIMUM_PLOT_TOP, ...rates);
   const toX = (index: number): string => ((index / (history.length - 1)) * PLOT_WIDTH).toFixed(1);
   const toY = (rate: number): string => (PLOT_HEIGHT - (rate / top) * PLOT_HEIGHT).toFixed(1);
   const points = history.map((rate, index) =>
--- a/packages/telemetry/src/lib/burn/renderBurnText.ts
+++ b/packages/telemetry/src/lib/burn/renderBurnText.ts
@@ -1,7 +1,7 @@
 import { renderTable } from '../text/renderTable';
 import type { BurnReport, BurnReportLevel, BurnWindow } from './burnReport';
 
-/** Burn rate with two decimals, or a dash where no request was judged. @internal */
+/** Formats a burn rate with two decimals, or as a dash if there were no requests. @internal */
 export function formatRate(rate: number | undefined): string {
   return rate === undefined ? '-' : rate.toFixed(2);
 }
@@ -13,21 +13,21 @@
 
 /** Renders the report as a table for a terminal. @public */
 export function renderBurnText(report: BurnReport): string {
-  const table = renderTable([headings(report), ...report.levels.map(row)]);
+  const table = renderTable([createHeadings(report), ...report.levels.map(createRow)]);
   return [
     `service-level burn at ${report.generatedAt}`,
-    table + footer(report).join('\n'),
+    table + createFooter(report).join('\n'),
     '',
   ].join('\n');
 }
 
-function headings(report: BurnReport): string[] {
+function createHeadings(report: BurnReport): string[] {
   const windows = report.levels[0]?.windows ?? [];
   const windowHeadings = windows.map(({ minutes }) => `burn ${formatMinutes(minutes)}`);
   return ['level', 'group', 'kind', 'objective', ...windowHeadings, 'bad/total', 'alarm'];
 }
 
-function row({ level, windows, alarm }: BurnReportLevel): string[] {
+function createRow({ level, windows, alarm }: BurnReportLevel): string[] {
   const rates = windows.map(({ rate }) => formatRate(rate));
   return [
     level.name,
@@ -35,17 +35,17 @@
     level.kind,
     `${level.objective}`,
     ...rates,
-    longest(windows),
+    formatLongestWindow(windows),
     alarm,
   ];
 }
 
-function longest(windows: readonly BurnWindow[]): string {
+function formatLongestWindow(windows: readonly BurnWindow[]): string {
   const window = windows.at(-1);
   return window ? `${window.bad}/${window.bad + window.good}` : '0/0';
 }
 
-function footer({ instances, missingInstances }: BurnReport): string[] {
+function createFooter({ instances, missingInstances }: BurnReport): string[] {
   const lines = [`instances: ${instances.join(', ') || 'none'}`];
   if (missingInstances.length > 0) lines.push(`not answering: ${missingInstances.join(', ')}`);
   return lines;
--- a/packages/telemetry/src/lib/explain/explainRequest.ts
+++ b/packages/telemetry/src/lib/explain/explainRequest.ts
@@ -1,49 +1,44 @@
 import type { LogLine } from './readLogLines';
 
-/** Why a line is part of an explanation. @public */
+/** Why an explanation contains a log line. @public */
 export type StepKind =
-  /** It names the request. */
+  /** Contains the request id. */
   | 'request'
-  /** It changed what an instance believed of the request's group at the time. */
+  /** Changed the state that an instance held for the group of the request. */
   | 'belief'
-  /** An instance on the request's way lost or regained something that it depends on. */
+  /** An involved instance lost or regained a dependency, or started or stopped. */
   | 'dependency'
-  /** What an instance on the way had last learned before. */
+  /** Last known state of an involved instance before the lookback window. */
   | 'before';
 
 /** @public */
 export interface ExplainedStep extends LogLine {
   kind: StepKind;
-  /** Milliseconds since the request began, as far as its lines tell. */
+  /** Milliseconds since the start of the request, estimated from its lines. */
   offset: number;
 }
 
-/** The way of one request through the instances. @public */
+/** The log lines that are relevant to one request. @public */
 export interface Explanation {
   requestId: string;
   groups: string[];
   instances: string[];
   steps: ExplainedStep[];
-  /** Steps beyond the limit that were left out, those of other requests' lines first. */
+  /** Number of omitted steps above the limit; lines of the request are never omitted. */
   leftOut: number;
 }
 
-/**
- * Time before a request that may explain it: an outage of a primary is suspected, looked into and ended
- * within five seconds.
- */
-const BEFORE_MILLISECONDS = 5_000;
+/** Window before a request; covers a complete failover, which takes at most five seconds. */
+const LOOKBACK_MILLISECONDS = 5_000;
 
-/** Time after it, for what an instance found out because of it. */
-const AFTER_MILLISECONDS = 1_000;
+/** Window after a request, for events that it triggered. */
+const LOOKAHEAD_MILLISECONDS = 1_000;
 
-/** Steps that fit a reader's patience; lines of the request itself are never left out. */
-const LIMIT = 120;
+const MAXIMUM_STEPS = 120;
 
-/** Lines of other requests say nothing of this one. */
-const isOfOtherRequest = ({ fields }: LogLine) => fields.requestId !== undefined;
+const hasRequestId = ({ fields }: LogLine) => fields.requestId !== undefined;
 
-/** What an instance depends on: store, other instances, a log that could not be written whole. */
+/** Events of the store connection, other instances, dropped log lines and the process itself. */
 const DEPENDENCY_EVENTS: ReadonlySet<string> = new Set([
   'storeLost',
   'storeRegained',
@@ -57,14 +52,14 @@
   'drainStarted',
 ]);
 
-/** The last line of each of these before a request tells by what the instance decided. */
+/** Events whose last occurrence before a request determines the state of an instance. */
 const STATE_EVENTS = ['configurationAdopted', 'storeLost', 'storeRegained', 'holdersPlanned'];
 
 /**
- * Finds what the logs of the instances tell of a request.
+ * Finds the log lines that explain a request.
  *
  * @param options.lines - of all instances, in time order.
- * @returns undefined where no line names the request.
+ * @returns undefined if no line contains the request id.
  * @public
  */
 export function explainRequest(options: {
@@ -72,64 +67,66 @@
   requestId: string;
 }): Explanation | undefined {
   const { lines, requestId } = options;
-  const own = lines.filter(({ fields }) => fields.requestId === requestId);
-  const [first] = own;
-  const last = own.at(-1);
+  const requestLines = lines.filter(({ fields }) => fields.requestId === requestId);
+  const [first] = requestLines;
+  const last = requestLines.at(-1);
   if (!first || !last) return undefined;
-  const began = Math.min(
-    ...own.map(({ at, fields }) => at - Number(fields.waitedMilliseconds ?? 0)),
+  const startedAt = Math.min(
+    ...requestLines.map(({ at, fields }) => at - Number(fields.waitedMilliseconds ?? 0)),
+  );
+  const groups = unique(
+    requestLines.flatMap(({ fields }) => (fields.group ? [String(fields.group)] : [])),
   );
-  const groups = unique(own.flatMap(({ fields }) => (fields.group ? [String(fields.group)] : [])));
-  const instances = unique(own.map(({ instance }) => instance));
+  const instances = unique(requestLines.map(({ instance }) => instance));
 
   const kindOf = (line: LogLine): StepKind | undefined => {
     if (line.fields.requestId === requestId) return 'request';
-    if (isOfOtherRequest(line)) return undefined;
+    if (hasRequestId(line)) return undefined;
     if (groups.includes(String(line.fields.group))) return 'belief';
-    const isOnTheWay = instances.includes(line.instance);
-    return isOnTheWay && DEPENDENCY_EVENTS.has(line.event) ? 'dependency' : undefined;
+    const isInvolved = instances.includes(line.instance);
+    return isInvolved && DEPENDENCY_EVENTS.has(line.event) ? 'dependency' : undefined;
   };
 
-  const around = lines.filter(
-    ({ at }) => at >= began - BEFORE_MILLISECONDS && at <= last.at + AFTER_MILLISECONDS,
+  const nearby = lines.filter(
+    ({ at }) => at >= startedAt - LOOKBACK_MILLISECONDS && at <= last.at + LOOKAHEAD_MILLISECONDS,
   );
-  const found = around.flatMap((line) => {
+  const matched = nearby.flatMap((line) => {
     const kind = kindOf(line);
-    return kind ? [{ ...line, kind, offset: line.at - began }] : [];
+    return kind ? [{ ...line, kind, offset: line.at - startedAt }] : [];
   });
-  const kept = keepWithin(found);
+  const kept = keepNearest(matched);
   const earlier = lines.filter(
     ({ at, fields }) =>
-      at < began - BEFORE_MILLISECONDS &&
+      at < startedAt - LOOKBACK_MILLISECONDS &&
       (fields.group === undefined || groups.includes(String(fields.group))),
   );
-  const steps = [...findStates(earlier, instances, began), ...kept];
-  const leftOut = found.length - kept.length;
+  const steps = [...findStates(earlier, instances, startedAt), ...kept];
+  const leftOut = matched.length - kept.length;
   return { requestId, groups, instances, steps, leftOut };
 }
 
-/** What the instances on the way had last learned before the time that is shown anyway. */
+/** Finds the last known state of the involved instances before the lookback window. */
 function findStates(
   earlier: readonly LogLine[],
   instances: readonly string[],
-  began: number,
+  startedAt: number,
 ): ExplainedStep[] {
   const states = instances.flatMap((instance) =>
     STATE_EVENTS.flatMap((event) => {
       const state = earlier.findLast((line) => line.instance === instance && line.event === event);
-      return state ? [{ ...state, kind: 'before' as const, offset: state.at - began }] : [];
+      return state ? [{ ...state, kind: 'before' as const, offset: state.at - startedAt }] : [];
     }),
   );
   return states.sort((left, right) => left.at - right.at);
 }
 
-/** Keeps the steps that are nearest to the request, in their order. */
-function keepWithin(steps: readonly ExplainedStep[]): ExplainedStep[] {
+/** Keeps the steps closest to the request, in time order. */
+function keepNearest(steps: readonly ExplainedStep[]): ExplainedStep[] {
   const others = steps.filter(({ kind }) => kind !== 'request');
-  const room = Math.max(0, LIMIT - (steps.length - others.length));
+  const remaining = Math.max(0, MAXIMUM_STEPS - (steps.length - others.length));
   const nearest = others
     .toSorted((left, right) => Math.abs(left.offset) - Math.abs(right.offset))
-    .slice(0, room);
+    .slice(0, remaining);
   const kept = new Set(nearest);
   return steps.filter((step) => step.kind === 'request' || kept.has(step));
 }
--- a/packages/telemetry/src/lib/explain/readLogLines.ts
+++ b/packages/telemetry/src/lib/explain/readLogLines.ts
@@ -1,14 +1,14 @@
-/** One line that an instance wrote. @public */
+/** One parsed log line of an instance. @public */
 export interface LogLine {
   instance: string;
   event: string;
-  /** Milliseconds since the epoch, by the instance's time of day. */
+  /** Milliseconds since the epoch, by the clock of the instance. */
   at: number;
   fields: Record<string, unknown>;
 }
 
-/** Fields of the logging library that say nothing of the event. */
-const ENVELOPE = new Set([
+/** Fields that every line has, which are not part of the event. */
+const ENVELOPE_FIELDS = new Set([
   'name',
   'instance',
   'hostname',
@@ -21,27 +21,27 @@
 ]);
 
 /**
- * Reads the lines of a log, in time order. What a collector put before a line's JSON is passed over,
- * and so are lines without one.
+ * Parses a log and sorts its lines by time. Skips prefixes that a log collector added, and lines
+ * without JSON.
  *
  * @public
  */
 export function readLogLines(text: string): LogLine[] {
   const lines = text.split('\n').flatMap((line) => {
-    const read = readLine(line);
-    return read ? [read] : [];
+    const parsed = parseLine(line);
+    return parsed ? [parsed] : [];
   });
   return lines.sort((left, right) => left.at - right.at);
 }
 
-function readLine(line: string): LogLine | undefined {
+function parseLine(line: string): LogLine | undefined {
   const start = line.indexOf('{');
   if (start < 0) return undefined;
   let value: Record<string, unknown>;
   try {
     value = JSON.parse(line.slice(start)) as Record<string, unknown>;
   } catch {
-    // A line that was cut off, as the last one of a process that was killed.
+    // A truncated line, such as the last one of a killed process.
     return undefined;
   }
   const { instance, event, time } = value;
@@ -49,6 +49,6 @@
   if (typeof instance !== 'string' || typeof event !== 'string' || Number.isNaN(at)) {
     return undefined;
   }
-  const fields = Object.entries(value).filter(([name]) => !ENVELOPE.has(name));
+  const fields = Object.entries(value).filter(([name]) => !ENVELOPE_FIELDS.has(name));
   return { instance, event, at, fields: Object.fromEntries(fields) };
 }
--- a/packages/telemetry/src/lib/explain/renderExplanation.ts
+++ b/packages/telemetry/src/lib/explain/renderExplanation.ts
@@ -1,7 +1,7 @@
 import { renderTable } from '../text/renderTable';
 import type { ExplainedStep, Explanation } from './explainRequest';
 
-/** Renders an explanation as a table, one line a step. @public */
+/** Renders an explanation as a table with one row per step. @public */
 export function renderExplanation({
   requestId,
   groups,
@@ -29,7 +29,7 @@
     .join(' ');
 }
 
-/** Of an error the message; its stack says nothing to who reads this. */
+/** Renders only the message of an error, without its stack. */
 function renderValue(value: unknown): string {
   if (typeof value === 'string') return value;
   if (typeof value === 'object' && value !== null && 'message' in value) {
--- a/packages/telemetry/src/lib/latency/latencyRecorder.ts
+++ b/packages/telemetry/src/lib/latency/latencyRecorder.ts
@@ -1,7 +1,7 @@
 import { build } from 'hdr-histogram-js';
 import type { Histogram } from 'hdr-histogram-js';
 
-/** What a latency histogram is kept for. @public */
+/** Key of a latency histogram. @public */
 export interface LatencySeries {
   group: string;
   kind: string;
@@ -23,7 +23,7 @@
 }
 
 const MICROSECONDS_PER_MILLISECOND = 1_000;
-const HIGHEST_MICROSECONDS = 600_000_000;
+const MAXIMUM_MICROSECONDS = 600_000_000;
 const SIGNIFICANT_DIGITS = 2;
 
 interface RecordedSeries {
@@ -32,37 +32,37 @@
 }
 
 /**
- * Keeps one histogram for each group, kind and access, in microseconds.
+ * Records latencies in one histogram per group, kind and access.
  *
- * Two significant digits keep a histogram at a few kilobytes, so that the number of series and not
- * the number of requests decides the memory.
+ * Two significant digits limit a histogram to a few kilobytes; memory use depends only on the
+ * number of series.
  *
  * @public
  */
 export function createLatencyRecorder(): LatencyRecorder {
-  const recorded = new Map<string, RecordedSeries>();
+  const recordedSeries = new Map<string, RecordedSeries>();
 
-  function histogramOf(series: LatencySeries): Histogram {
+  function getHistogram(series: LatencySeries): Histogram {
     const key = `${series.group}/${series.kind}/${series.access}`;
-    const known = recorded.get(key);
-    if (known) return known.histogram;
+    const existing = recordedSeries.get(key);
+    if (existing) return existing.histogram;
     const histogram = build({
       lowestDiscernibleValue: 1,
-      highestTrackableValue: HIGHEST_MICROSECONDS,
+      highestTrackableValue: MAXIMUM_MICROSECONDS,
       numberOfSignificantValueDigits: SIGNIFICANT_DIGITS,
       bitBucketSize: 32,
     });
-    recorded.set(key, { series: { ...series }, histogram });
+    recordedSeries.set(key, { series: { ...series }, histogram });
     return histogram;
   }
 
   function record(series: LatencySeries, milliseconds: number): void {
     const microseconds = Math.round(milliseconds * MICROSECONDS_PER_MILLISECOND);
-    histogramOf(series).recordValue(Math.min(Math.max(microseconds, 1), HIGHEST_MICROSECONDS));
+    getHistogram(series).recordValue(Math.min(Math.max(microseconds, 1), MAXIMUM_MICROSECONDS));
   }
 
   function summaries(): LatencySummary[] {
-    return [...recorded.values()].map(({ series, histogram }) => ({
+    return [...recordedSeries.values()].map(({ series, histogram }) => ({
       ...series,
       count: histogram.totalCount,
       p50Milliseconds: histogram.getValueAtPercentile(50) / MICROSECONDS_PER_MILLISECOND,
--- a/packages/telemetry/src/lib/log/createLogger.ts
+++ b/packages/telemetry/src/lib/log/createLogger.ts
@@ -3,7 +3,7 @@
 /** @public */
 export type LogLevel = 'trace' | 'debug' | 'info' | 'warn' | 'error';
 
-/** Fields of one log line beside its event name. Passwords, tokens and statements never go here. @public */
+/** Fields of a log line. Must not contain passwords, tokens or statements. @public */
 export interface LogFields {
   group?: string;
   term?: number;
@@ -12,19 +12,19 @@
   [field: string]: unknown;
 }
 
-/** Writes one line a call, each with one event name. @public */
+/** Writes one line per call, with an event name. @public */
 export type Logger = Record<LogLevel, (event: string, fields?: LogFields) => void>;
 
 /** @public */
 export interface LoggerOptions {
   instance: string;
   level: LogLevel;
-  /** Where the lines go; standard output when absent. */
+  /** Output of the lines; defaults to standard output. */
   stream?: NodeJS.WritableStream;
 }
 
 /**
- * Creates the logger of a process; each line is one JSON object.
+ * Creates a logger that writes each line as one JSON object.
  *
  * @example
  * ```ts
--- a/packages/telemetry/src/lib/text/renderTable.ts
+++ b/packages/telemetry/src/lib/text/renderTable.ts
@@ -1,4 +1,4 @@
-/** Renders rows as left-aligned columns; the first row holds the headings. @public */
+/** Renders rows as left-aligned columns; the first row contains the headings. @public */
 export function renderTable(rows: readonly (readonly string[])[]): string {
   const columns = rows[0]?.length ?? 0;
   const widths = Array.from({ length: columns }, (_, column) =>
--- a/packages/telemetry/src/test/boundedLogger.test.ts
+++ b/packages/telemetry/src/test/boundedLogger.test.ts
@@ -3,7 +3,7 @@
 import type { LogFields, Logger } from '../index';
 
 describe('a bounded logger', () => {
-  function open() {
+  function createTestLogger() {
     const lines: string[] = [];
     const counts: number[] = [];
     const clock = { now: 0, backlog: 0 };
@@ -14,13 +14,13 @@
     const logger: Logger = { trace: write, debug: write, info: write, warn: write, error: write };
     const bounded = createBoundedLogger(logger, {
       now: () => clock.now,
-      backlog: () => clock.backlog,
+      backlogBytes: () => clock.backlog,
     });
     return { bounded, clock, counts, lines };
   }
 
-  it('leaves lines out beyond a number a second, failures last, and tells how many', () => {
-    const { bounded, clock, counts, lines } = open();
+  it('drops lines above the limit of their level and logs the number of dropped lines', () => {
+    const { bounded, clock, counts, lines } = createTestLogger();
     for (let line = 0; line < 150; line += 1) bounded.info('usual');
     for (let line = 0; line < 150; line += 1) bounded.error('failure');
     expect(lines.filter((event) => event === 'usual').length).toBe(100);
@@ -31,8 +31,8 @@
     expect(lines.at(-1)).toBe('later');
   });
 
-  it('writes nothing while the reader of standard output does not keep up', () => {
-    const { bounded, clock, counts, lines } = open();
+  it('writes nothing while the backlog exceeds its limit', () => {
+    const { bounded, clock, counts, lines } = createTestLogger();
     clock.backlog = 2_000_000;
     bounded.error('failure');
     expect(lines).toEqual([]);
--- a/packages/telemetry/src/test/burn.test.ts
+++ b/packages/telemetry/src/test/burn.test.ts
@@ -18,19 +18,19 @@
 const NOON = Date.parse('2026-12-01T12:00:00Z');
 const MINUTE = 60_000;
 
-/** Counts requests at each minute of the last `minutes`, of which `bad` a minute miss the level. */
+/** Counts `good` and `bad` requests in each of the last `minutes`. */
 function countRequests(options: { minutes: number; good: number; bad: number }) {
   const counters = createBurnCounters();
-  counters.setLevels([LEVEL]);
-  const judge = (isAnswered: boolean, at: number) =>
+  counters.setServiceLevels([LEVEL]);
+  const record = (isSuccessful: boolean, at: number) =>
     counters.record(
-      { group: LEVEL.group, kind: LEVEL.kind, isAnswered, latencyMilliseconds: 5 },
+      { group: LEVEL.group, kind: LEVEL.kind, isSuccessful, latencyMilliseconds: 5 },
       at,
     );
   for (let minute = options.minutes; minute >= 0; minute -= 1) {
     const at = NOON - minute * MINUTE;
-    for (let count = 0; count < options.good; count += 1) judge(true, at);
-    for (let count = 0; count < options.bad; count += 1) judge(false, at);
+    for (let count = 0; count < options.good; count += 1) record(true, at);
+    for (let count = 0; count < options.bad; count += 1) record(false, at);
   }
   return { instance: 'entry-1', series: counters.series(NOON) };
 }
@@ -44,7 +44,7 @@
     expect(renderBurnPage(report)).toMatchSnapshot();
   });
 
-  it('adds up the instances', () => {
+  it('sums the counts of the instances', () => {
     const burns = [
       countRequests({ minutes: 4, good: 9, bad: 1 }),
       countRequests({ minutes: 4, good: 10, bad: 0 }),
@@ -58,12 +58,12 @@
     });
   });
 
-  it('judges a slow answer as bad and keeps the counts of an unchanged level', () => {
+  it('counts a slow answer as bad and keeps the counts of an unchanged level', () => {
     const counters = createBurnCounters();
-    counters.setLevels([LEVEL]);
-    const request = { group: LEVEL.group, kind: LEVEL.kind, isAnswered: true };
+    counters.setServiceLevels([LEVEL]);
+    const request = { group: LEVEL.group, kind: LEVEL.kind, isSuccessful: true };
     counters.record({ ...request, latencyMilliseconds: 101 }, NOON);
-    counters.setLevels([{ ...LEVEL, name: 'other' }, { ...LEVEL }]);
+    counters.setServiceLevels([{ ...LEVEL, name: 'other' }, { ...LEVEL }]);
     expect(counters.series(NOON).map(({ buckets }) => buckets[0])).toEqual([
       undefined,
       { bucket: NOON / 10_000, good: 0, bad: 1 },
--- a/packages/telemetry/src/test/explain.test.ts
+++ b/packages/telemetry/src/test/explain.test.ts
@@ -3,7 +3,7 @@
 
 const START = Date.parse('2026-05-08T10:00:00.000Z');
 
-/** A line as an instance writes it, `at` milliseconds after the start. */
+/** A log line of an instance, `at` milliseconds after `START`. */
 function line(at: number, instance: string, event: string, fields: object = {}): string {
   const time = new Date(START + at).toISOString();
   const value = { name: 'wisterialift', instance, pid: 1, level: 30, event, ...fields, time, v: 0 };
@@ -36,12 +36,12 @@
 ].join('\n');
 
 describe('the explanation of a request', () => {
-  it('holds its own lines, what was believed of its group, and what was lost on its way', () => {
+  it('contains its own lines, state changes of its group and dependency failures', () => {
     const explained = explainRequest({ lines: readLogLines(LOG), requestId: 'r1' })!;
     expect(renderExplanation(explained)).toMatchSnapshot();
   });
 
-  it('is not there for a request that no line names', () => {
+  it('is undefined for a request id that no line contains', () => {
     expect(explainRequest({ lines: readLogLines(LOG), requestId: 'r9' })).toBeUndefined();
   });
 
@@ -60,7 +60,7 @@
 });
 
 describe('lines of a log', () => {
-  it('are read behind what a collector put before them, and cut ones are passed over', () => {
+  it('are parsed after the prefix of a log collector, and truncated ones are skipped', () => {
     const text = [
       `  8.1 front-1 ${line(5, 'front-1', 'started')}`,
       'no JSON',
