--- a/packages/mysql/src/index.ts
+++ b/packages/mysql/src/index.ts
@@ -2,7 +2,7 @@
 export {
   type CallerConnection,
   type CallerHandlers,
-  type OkAnswer,
+  type OkResponse,
 } from './lib/caller/callerConnection';
 export {
   createCallerListener,
@@ -12,10 +12,10 @@
   type ListenerAddress,
 } from './lib/caller/callerListener';
 export { type CallerTls } from './lib/caller/tlsUpgrade';
-export { isPasswordProven, type PasswordProof } from './lib/caller/passwordCheck';
+export { isPasswordProven, type ChallengeResponse } from './lib/caller/passwordCheck';
 export {
   createGroupControlConnection,
-  type ControlAnswer,
+  type ControlResponse,
   type ControlQuestion,
   type GroupControlConnection,
   type GroupControlConnectionOptions,
@@ -25,7 +25,7 @@
 export { toFrames } from './lib/protocol/frames';
 export { EMPTY_OK, hasFlag, withFlag, type OkPacket } from './lib/protocol/okPacket';
 export { type TextResult } from './lib/protocol/textResult';
-export { ProtocolError } from './lib/upstream/answerReader';
+export { ProtocolError } from './lib/upstream/responseReader';
 export {
   createUpstreamConnection,
   type ConnectFailure,
@@ -34,7 +34,7 @@
   type UpstreamConnectionOptions,
 } from './lib/upstream/upstreamConnection';
 export {
-  type AnswerReceiver,
+  type ResponseReceiver,
   type CompletedAnswer,
   type FinalPacket,
   type PreparedDescription,
--- a/packages/mysql/src/lib/caller/callerCommand.ts
+++ b/packages/mysql/src/lib/caller/callerCommand.ts
@@ -1,12 +1,12 @@
 import { commandCode } from '../protocol/constants';
 
-/** A command of a caller. @public */
+/** A command received from a caller. @public */
 export type CallerCommand =
   | { type: 'query'; sql: string; payload: Buffer }
   | { type: 'useGroup'; group: string }
   | { type: 'ping' }
   | { type: 'prepare'; sql: string }
-  /** `payload` is the whole command, its first byte and the statement's id included. */
+  /** `payload` is the whole command, including the command code and the statement id. */
   | { type: 'execute'; statementId: number; payload: Buffer }
   | { type: 'sendLongData'; statementId: number; payload: Buffer }
   | { type: 'closeStatement'; statementId: number }
@@ -15,65 +15,65 @@
   | { type: 'quit' }
   | { type: 'unsupported'; code: number };
 
-/** A command that cannot be read. @public */
+/** Thrown when a command packet cannot be parsed. @public */
 export class MalformedPacketError extends Error {
   override name = 'MalformedPacketError';
 }
 
-const STATEMENT_ID_END = 5;
+const STATEMENT_ID_END_OFFSET = 5;
 
-const readersByCode: Record<number, (payload: Buffer) => CallerCommand> = {
+const parsersByCode: Record<number, (payload: Buffer) => CallerCommand> = {
   [commandCode.quit]: () => ({ type: 'quit' }),
-  [commandCode.initDatabase]: (payload) => ({ type: 'useGroup', group: textOf(payload) }),
-  [commandCode.query]: (payload) => ({ type: 'query', sql: textOf(payload), payload }),
+  [commandCode.initDatabase]: (payload) => ({ type: 'useGroup', group: readText(payload) }),
+  [commandCode.query]: (payload) => ({ type: 'query', sql: readText(payload), payload }),
   [commandCode.ping]: () => ({ type: 'ping' }),
-  [commandCode.prepare]: (payload) => ({ type: 'prepare', sql: textOf(payload) }),
+  [commandCode.prepare]: (payload) => ({ type: 'prepare', sql: readText(payload) }),
   [commandCode.execute]: (payload) => ({
     type: 'execute',
-    statementId: statementIdOf(payload),
+    statementId: readStatementId(payload),
     payload,
   }),
   [commandCode.sendLongData]: (payload) => ({
     type: 'sendLongData',
-    statementId: statementIdOf(payload),
+    statementId: readStatementId(payload),
     payload,
   }),
   [commandCode.closeStatement]: (payload) => ({
     type: 'closeStatement',
-    statementId: statementIdOf(payload),
+    statementId: readStatementId(payload),
   }),
   [commandCode.resetStatement]: (payload) => ({
     type: 'resetStatement',
-    statementId: statementIdOf(payload),
+    statementId: readStatementId(payload),
   }),
   [commandCode.resetConnection]: () => ({ type: 'resetConnection' }),
 };
 
-/** Commands that have no answer. @internal */
-export const silentCommands: ReadonlySet<CallerCommand['type']> = new Set([
+/** Commands to which the protocol defines no response. @internal */
+export const commandsWithoutResponse: ReadonlySet<CallerCommand['type']> = new Set([
   'sendLongData',
   'closeStatement',
   'quit',
 ]);
 
 /**
- * Reads a command.
+ * Parses the payload of a command packet.
  *
- * @throws MalformedPacketError where the packet is empty or cut.
+ * @throws MalformedPacketError if the payload is empty or truncated.
  * @internal
  */
-export function readCommand(payload: Buffer): CallerCommand {
+export function parseCommand(payload: Buffer): CallerCommand {
   const code = payload[0];
-  if (code === undefined) throw new MalformedPacketError('a command without a code');
-  const read = readersByCode[code];
-  return read ? read(payload) : { type: 'unsupported', code };
+  if (code === undefined) throw new MalformedPacketError('empty command packet');
+  const parse = parsersByCode[code];
+  return parse ? parse(payload) : { type: 'unsupported', code };
 }
 
-function textOf(payload: Buffer): string {
+function readText(payload: Buffer): string {
   return payload.toString('utf8', 1);
 }
 
-function statementIdOf(payload: Buffer): number {
-  if (payload.length < STATEMENT_ID_END) throw new MalformedPacketError('no statement id');
+function readStatementId(payload: Buffer): number {
+  if (payload.length < STATEMENT_ID_END_OFFSET) throw new MalformedPacketError('no statement id');
   return payload.readUInt32LE(1);
 }
--- a/packages/mysql/src/lib/caller/callerConnection.ts
+++ b/packages/mysql/src/lib/caller/callerConnection.ts
@@ -1,4 +1,4 @@
-import { payloadOf, type DriverConnection, type DriverPacket } from '../driverConnection';
+import { getPayload, type DriverConnection, type DriverPacket } from '../driverConnection';
 import { serverStatus } from '../protocol/constants';
 import { encodeError, type SqlError } from '../protocol/errorPacket';
 import { toFrames } from '../protocol/frames';
@@ -6,41 +6,42 @@
 import { encodeTextResult, type TextResult } from '../protocol/textResult';
 import {
   MalformedPacketError,
-  readCommand,
-  silentCommands,
+  parseCommand,
+  commandsWithoutResponse,
   type CallerCommand,
 } from './callerCommand';
 
-/** An authenticated connection of a caller: commands come in one at a time, answers go out. @public */
+/** An authenticated caller connection that processes one command at a time. @public */
 export interface CallerConnection {
   readonly id: number;
-  /** Whether the bytes written so far still wait for the caller to read. */
+  /** Whether the write buffer is full; `onDrain` is called once it has been flushed. */
   readonly isFull: boolean;
-  /** Takes the handlers and starts with the commands that have come so far. */
+  /** Registers the handlers and dispatches the commands received so far. */
   start: (handlers: CallerHandlers) => void;
-  /** Sends a part of the present command's answer, framed and numbered already. */
+  /** Sends part of the current command's response; the frames include their headers. */
   writeFrames: (frames: Buffer[]) => void;
-  /** Sends the last part of the answer; the next command follows. */
+  /** Sends the last part of the response and dispatches the next command. */
   finish: (frames: Buffer[]) => void;
-  /** @param sequence - number of the packet within the answer. */
-  finishOk: (answer: OkAnswer, sequence?: number) => void;
+  /** @param sequence - sequence number of the packet within the response. */
+  finishOk: (answer: OkResponse, sequence?: number) => void;
   finishError: (error: SqlError, sequence?: number) => void;
   finishResult: (result: TextResult, status?: number) => void;
-  /** Closes once what was written has been sent. */
+  /** Closes the connection after sending pending data and the error, if any. */
   end: (error?: SqlError) => void;
   destroy: () => void;
 }
 
 /** @public */
-export interface OkAnswer {
+export interface OkResponse {
   ok?: OkPacket;
+  /** Session token, sent to callers that support session tracking. */
   token?: string | undefined;
 }
 
 /** @public */
 export interface CallerHandlers {
   onCommand: (command: CallerCommand) => void;
-  /** The caller has read what `isFull` spoke of. */
+  /** The write buffer is no longer full; see {@link CallerConnection.isFull}. */
   onDrain: () => void;
   onClosed: () => void;
 }
@@ -58,64 +59,65 @@
   message: 'Malformed communication packet.',
 };
 
-/** Number of the first packet of an answer; the command itself has 0. */
-const FIRST_ANSWER = 1;
+/** Sequence number of the first packet of a response; the command has 0. */
+const FIRST_RESPONSE_SEQUENCE = 1;
 
-/** Commands that wait before the connection is no longer read from. */
-const LONGEST_QUEUE = 16;
+/** Queue length at which reading from the socket is paused. */
+const MAXIMUM_QUEUED_COMMANDS = 16;
 
-/** Up to this size, frames are joined: one write call costs more than the copy. */
-const JOINED_BYTES = 16_384;
+/** Frames up to this total size are concatenated, since a copy costs less than a write call. */
+const MAXIMUM_JOINED_BYTES = 16_384;
 
-/** Time for an error to reach a caller that still sends, in milliseconds. */
+/** Time between the end of the connection and its forced close, in milliseconds. */
 const LINGER_MILLISECONDS = 1_000;
 
 /**
- * Creates the connection of a caller on a driver connection whose handshake is done.
+ * Creates a caller connection from a driver connection whose handshake is complete.
  *
  * @internal
  */
 export function createCallerConnection(options: CallerConnectionOptions): CallerConnection {
   const { id, driver, canTrackSession } = options;
   const socket = driver.stream;
-  const waiting: CallerCommand[] = [];
+  const commandQueue: CallerCommand[] = [];
   let handlers: CallerHandlers | undefined;
   let isBusy = false;
 
-  const closeAsMalformed = (): void => endConnection(driver, MALFORMED_PACKET, FIRST_ANSWER);
+  const closeOnMalformedPacket = (): void =>
+    closeGracefully(driver, MALFORMED_PACKET, FIRST_RESPONSE_SEQUENCE);
 
-  const dispatch = (): void => {
+  const dispatchCommands = (): void => {
     while (handlers && !isBusy && !socket.destroyed) {
-      const command = waiting.shift();
+      const command = commandQueue.shift();
       if (!command) return;
-      if (socket.isPaused() && waiting.length < LONGEST_QUEUE) socket.resume();
-      isBusy = !silentCommands.has(command.type);
+      if (socket.isPaused() && commandQueue.length < MAXIMUM_QUEUED_COMMANDS) socket.resume();
+      isBusy = !commandsWithoutResponse.has(command.type);
       handlers.onCommand(command);
     }
   };
 
   const onPacket = (packet?: DriverPacket): void => {
     if (!packet) return;
-    // A command starts a new numbering; another number means that the two sides disagree on where
-    // packets begin, and what follows would be read as something that the caller never said.
+    // Every command starts at sequence number 0. Any other number means that packet boundaries
+    // are out of step, and payload bytes could be parsed as a command.
     if (packet.sequenceId !== 0) {
-      closeAsMalformed();
+      closeOnMalformedPacket();
       return;
     }
     try {
-      waiting.push(readCommand(payloadOf(packet)));
+      commandQueue.push(parseCommand(getPayload(packet)));
     } catch (error) {
       if (!(error instanceof MalformedPacketError)) throw error;
-      closeAsMalformed();
+      closeOnMalformedPacket();
       return;
     }
-    if (waiting.length >= LONGEST_QUEUE) socket.pause();
-    dispatch();
+    if (commandQueue.length >= MAXIMUM_QUEUED_COMMANDS) socket.pause();
+    dispatchCommands();
   };
 
   const write = (frames: Buffer[]): void => {
     const bytes = frames.reduce((sum, frame) => sum + frame.length, 0);
-    if (bytes <= JOINED_BYTES) {
+    if (bytes <= MAXIMUM_JOINED_BYTES) {
       socket.write(frames.length === 1 ? (frames[0] as Buffer) : Buffer.concat(frames));
       return;
     }
@@ -134,7 +136,7 @@
       socket.on('drain', newHandlers.onDrain);
       socket.once('close', newHandlers.onClosed);
       if (socket.destroyed) newHandlers.onClosed();
-      dispatch();
+      dispatchCommands();
     },
     writeFrames: (frames) => {
       if (!socket.destroyed && frames.length > 0) write(frames);
@@ -142,20 +144,22 @@
     finish: (frames) => {
       connection.writeFrames(frames);
       isBusy = false;
-      dispatch();
+      dispatchCommands();
     },
-    finishOk: ({ ok = EMPTY_OK, token }, sequence = FIRST_ANSWER) => {
+    finishOk: ({ ok = EMPTY_OK, token }, sequence = FIRST_RESPONSE_SEQUENCE) => {
       connection.finish([toFrames(encodeOk({ ok, canTrackSession, token }), sequence)]);
     },
-    finishError: (error, sequence = FIRST_ANSWER) => {
+    finishError: (error, sequence = FIRST_RESPONSE_SEQUENCE) => {
       connection.finish([toFrames(encodeError(error), sequence)]);
     },
     finishResult: (result, status = serverStatus.autocommit) => {
       const payloads = encodeTextResult(result, status);
-      connection.finish(payloads.map((payload, index) => toFrames(payload, FIRST_ANSWER + index)));
+      connection.finish(
+        payloads.map((payload, index) => toFrames(payload, FIRST_RESPONSE_SEQUENCE + index)),
+      );
     },
     end: (error) => {
-      endConnection(driver, error, FIRST_ANSWER);
+      closeGracefully(driver, error, FIRST_RESPONSE_SEQUENCE);
     },
     destroy: () => {
       socket.destroy();
@@ -167,14 +171,14 @@
 }
 
 /**
- * Sends an error, if any, and closes.
+ * Sends the error, if any, and closes the connection.
  *
- * A close with unread bytes resets the connection, and a reset can overtake the error on its way. So
- * what still comes is read and dropped for a moment.
+ * Closing a socket with unread bytes resets it, and the error could be lost. Received data is
+ * therefore read and discarded until the timeout.
  *
  * @internal
  */
-export function endConnection(
+export function closeGracefully(
   driver: DriverConnection,
   error: SqlError | undefined,
   sequence: number,
--- a/packages/mysql/src/lib/caller/callerListener.ts
+++ b/packages/mysql/src/lib/caller/callerListener.ts
@@ -5,31 +5,31 @@
 import type { SqlError } from '../protocol/errorPacket';
 import { toFrames } from '../protocol/frames';
 import { EMPTY_OK, encodeOk, hasFlag } from '../protocol/okPacket';
-import { createCallerConnection, endConnection, type CallerConnection } from './callerConnection';
-import { createPacketLimit } from './packetLimit';
-import type { PasswordProof } from './passwordCheck';
-import { acceptTls, toTlsKeys, type CallerTls, type TlsKeys } from './tlsUpgrade';
+import { createCallerConnection, closeGracefully, type CallerConnection } from './callerConnection';
+import { createPacketSizeLimiter } from './packetSizeLimiter';
+import type { ChallengeResponse } from './passwordCheck';
+import { enableTlsUpgrade, createTlsContext, type CallerTls, type TlsContext } from './tlsUpgrade';
 
-/** Who wants to connect. @public */
+/** Login request of a caller. @public */
 export interface CallerLogin {
   caller: string;
-  /** Database name of the connection; undefined where the caller gave none. */
+  /** Database name in the login request; undefined if it has none. */
   group: string | undefined;
-  proof: PasswordProof;
+  proof: ChallengeResponse;
 }
 
 /** @public */
 export interface CallerListenerOptions {
   host: string;
-  /** 0 for any free port. */
+  /** 0 selects a free port. */
   port: number;
-  /** Largest packet of a caller in bytes. */
+  /** Largest accepted packet after login, in bytes. */
   maximumPacketBytes: number;
-  /** Time that a client has to log in, in milliseconds. */
+  /** Time limit for the login, in milliseconds. */
   loginTimeoutMilliseconds?: number;
-  /** Offers TLS with these keys. */
+  /** Enables TLS with these keys. */
   tls?: CallerTls | undefined;
-  /** @returns the error that refuses the login, or undefined. */
+  /** @returns the error with which the login is rejected, or undefined to accept it. */
   authenticate: (login: CallerLogin) => SqlError | undefined;
   onConnection: (connection: CallerConnection, login: CallerLogin) => void;
 }
@@ -40,35 +40,35 @@
   port: number;
 }
 
-/** Accepts connections of callers. @public */
+/** Accepts caller connections. @public */
 export interface CallerListener {
   listen: () => Promise<ListenerAddress>;
   /**
-   * Takes other keys for the connections to come.
+   * Replaces the TLS keys for new connections.
    *
-   * @throws Error of the TLS library where the keys cannot be used; the present ones stay.
+   * @throws the TLS library's Error if the keys are invalid; the previous keys stay in use.
    */
   useTls: (tls: CallerTls) => void;
-  /** Accepts no more connections; those that are open stay. */
+  /** Stops accepting connections; open ones are kept. */
   stopAccepting: () => void;
 }
 
 const SERVER_VERSION = '8.0.0-wisterialift';
-const LARGEST_LOGIN_BYTES = 65_536;
+const MAXIMUM_LOGIN_BYTES = 65_536;
 const DEFAULT_LOGIN_TIMEOUT_MILLISECONDS = 10_000;
 const SCRAMBLE_BYTES = 20;
 
 /**
- * Capabilities that both sides of the proxy agree on, so that packets pass through unchanged.
+ * Capabilities used towards callers and databases alike, so that packets are forwarded unchanged.
  *
- * Without DEPRECATE_EOF a result set has the same form towards callers and from databases. Left out
- * are compression, LOCAL INFILE, several statements at once and query attributes.
+ * DEPRECATE_EOF is excluded so that result sets have the same format on both sides. Compression,
+ * LOCAL INFILE, multiple statements and query attributes are not supported.
  */
 const CAPABILITIES =
   Object.values(capability).reduce((sum, flag) => sum + flag, 0) - capability.tls;
 
 /**
- * Creates the listener for callers.
+ * Creates the listener for caller connections.
  *
  * @example
  * const listener = createCallerListener({ host: '127.0.0.1', port: 0, ... });
@@ -76,16 +76,16 @@
  * @public
  */
 export function createCallerListener(options: CallerListenerOptions): CallerListener {
-  let lastId = 0;
-  let tlsKeys = options.tls && toTlsKeys(options.tls);
+  let lastConnectionId = 0;
+  let tlsKeys = options.tls && createTlsContext(options.tls);
   const server = createTcpServer({ noDelay: true }, (socket) => {
-    lastId += 1;
-    acceptConnection({ socket, id: lastId, tlsKeys, options });
+    lastConnectionId += 1;
+    acceptConnection({ socket, id: lastConnectionId, tlsKeys, options });
   });
   return {
     listen: () => listen(server, options),
     useTls: (tls) => {
-      tlsKeys = toTlsKeys(tls);
+      tlsKeys = createTlsContext(tls);
     },
     stopAccepting: () => {
       server.close();
@@ -107,16 +107,13 @@
   });
 }
 
-/**
- * The driver sets memory aside for each entry of its cache of prepared statements, half a megabyte a
- * connection by default. Callers' statements are kept by the caller task, so the least will do.
- */
-const DRIVER_CACHE_ENTRIES = 1;
+/** The driver's statement cache is unused, and its default size takes 0.5 MB a connection. */
+const DRIVER_STATEMENT_CACHE_ENTRIES = 1;
 
 interface AcceptedConnection {
   socket: Socket;
   id: number;
-  tlsKeys: TlsKeys | undefined;
+  tlsKeys: TlsContext | undefined;
   options: CallerListenerOptions;
 }
 
@@ -124,10 +121,10 @@
   const driverOptions: ConnectionOptions = {
     stream: socket,
     isServer: true,
-    maxPreparedStatements: DRIVER_CACHE_ENTRIES,
+    maxPreparedStatements: DRIVER_STATEMENT_CACHE_ENTRIES,
   };
   const driver = createConnection(driverOptions) as unknown as DriverConnection;
-  // A connection that breaks is told by the close of its socket.
+  // Errors are reported through the close event of the socket.
   driver.on('error', () => socket.destroy());
   const loginTimer = setTimeout(
     () => socket.destroy(),
@@ -135,10 +132,10 @@
   );
   socket.once('close', () => clearTimeout(loginTimer));
 
-  let largestPacketBytes = LARGEST_LOGIN_BYTES;
-  limitPackets(driver, () => largestPacketBytes);
-  if (tlsKeys) acceptTls(driver, tlsKeys);
-  refuseWrongSequence(driver);
+  let packetLimitBytes = MAXIMUM_LOGIN_BYTES;
+  limitPacketSize(driver, () => packetLimitBytes);
+  if (tlsKeys) enableTlsUpgrade(driver, tlsKeys);
+  closeOnSequenceMismatch(driver);
 
   driver.serverHandshake({
     protocolVersion: 10,
@@ -150,12 +147,12 @@
     authCallback: (driverLogin) => {
       clearTimeout(loginTimer);
       const login = toLogin(driverLogin);
-      const refusal = options.authenticate(login);
-      if (refusal) {
-        endConnection(driver, refusal, driver.sequenceId);
+      const loginError = options.authenticate(login);
+      if (loginError) {
+        closeGracefully(driver, loginError, driver.sequenceId);
         return;
       }
-      largestPacketBytes = options.maximumPacketBytes;
+      packetLimitBytes = options.maximumPacketBytes;
       const flags = driver.clientHelloReply?.clientFlags ?? 0;
       const canTrackSession = hasFlag(flags, capability.sessionTrack);
       driver.stream.write(toFrames(encodeOk({ ok: EMPTY_OK, canTrackSession }), driver.sequenceId));
@@ -164,27 +161,27 @@
   });
 }
 
-/** Closes this connection alone, before its packet is kept, when a header announces too much. */
-function limitPackets(driver: DriverConnection, maximumBytes: () => number): void {
-  const limit = createPacketLimit(maximumBytes);
+/** Closes the connection if a header announces too large a packet, before it is buffered. */
+function limitPacketSize(driver: DriverConnection, maximumBytes: () => number): void {
+  const limiter = createPacketSizeLimiter(maximumBytes);
   const { packetParser } = driver;
   const execute = (chunk: Buffer): void => {
-    if (limit.accepts(chunk)) {
+    if (limiter.isWithinLimit(chunk)) {
       packetParser.execute(chunk);
       return;
     }
     const message = `Got a packet bigger than ${maximumBytes()} bytes`;
-    endConnection(driver, { code: 1153, state: '08S01', message }, 1);
+    closeGracefully(driver, { code: 1153, state: '08S01', message }, 1);
   };
   Object.assign(driver, { packetParser: { execute } });
 }
 
-/** The driver prints a line for each packet out of order and goes on; here it ends the connection. */
-function refuseWrongSequence(driver: DriverConnection): void {
-  const handleNext = driver.handlePacket.bind(driver);
+/** Closes the connection on a packet out of order; the driver would only log a warning. */
+function closeOnSequenceMismatch(driver: DriverConnection): void {
+  const forwardPacket = driver.handlePacket.bind(driver);
   const handlePacket = (packet?: DriverPacket): void => {
     if (packet && packet.sequenceId !== driver.sequenceId) driver.stream.destroy();
-    else handleNext(packet);
+    else forwardPacket(packet);
   };
   Object.assign(driver, { handlePacket });
 }
@@ -197,6 +194,6 @@
   authToken,
 }: DriverLogin): CallerLogin {
   const scramble = Buffer.concat([authPluginData1, authPluginData2]).subarray(0, SCRAMBLE_BYTES);
-  const answer = typeof authToken === 'string' ? Buffer.from(authToken, 'latin1') : authToken;
-  return { caller: user, group: database || undefined, proof: { scramble, answer } };
+  const response = typeof authToken === 'string' ? Buffer.from(authToken, 'latin1') : authToken;
+  return { caller: user, group: database || undefined, proof: { scramble, response } };
 }
--- a/packages/mysql/src/lib/caller/passwordCheck.ts
+++ b/packages/mysql/src/lib/caller/passwordCheck.ts
@@ -2,30 +2,30 @@
 
 const HASH_BYTES = 20;
 
-/** What a client proves its password with. @public */
-export interface PasswordProof {
-  /** 20 random bytes of the handshake. */
+/** Challenge and response of `mysql_native_password`. @public */
+export interface ChallengeResponse {
+  /** The challenge: 20 random bytes sent in the handshake. */
   scramble: Buffer;
-  /** The client's answer: SHA1(password) XOR SHA1(scramble + SHA1(SHA1(password))). */
-  answer: Buffer;
+  /** SHA1(password) XOR SHA1(scramble + SHA1(SHA1(password))). */
+  response: Buffer;
 }
 
 /**
- * Checks an answer of `mysql_native_password` without knowing the password.
+ * Verifies a `mysql_native_password` response against the stored password hash.
  *
  * @param passwordHash - hexadecimal SHA1(SHA1(password)).
  * @public
  */
 export function isPasswordProven(
   passwordHash: string,
-  { scramble, answer }: PasswordProof,
+  { scramble, response }: ChallengeResponse,
 ): boolean {
-  const stored = Buffer.from(passwordHash, 'hex');
-  // An empty answer stands for an empty password, which has a hash of its own.
-  if (answer.length === 0) return timingSafeEqual(stored, sha1(sha1(Buffer.alloc(0))));
-  if (answer.length !== HASH_BYTES) return false;
-  const passwordSha = xor(answer, sha1(Buffer.concat([scramble, stored])));
-  return timingSafeEqual(stored, sha1(passwordSha));
+  const storedHash = Buffer.from(passwordHash, 'hex');
+  // Clients send an empty response for an empty password.
+  if (response.length === 0) return timingSafeEqual(storedHash, sha1(sha1(Buffer.alloc(0))));
+  if (response.length !== HASH_BYTES) return false;
+  const passwordHashOnce = xor(response, sha1(Buffer.concat([scramble, storedHash])));
+  return timingSafeEqual(storedHash, sha1(passwordHashOnce));
 }
 
 function sha1(data: Buffer): Buffer {
--- a/packages/mysql/src/lib/caller/tlsUpgrade.ts
+++ b/packages/mysql/src/lib/caller/tlsUpgrade.ts
@@ -3,59 +3,58 @@
 import { HEADER_BYTES, capability } from '../protocol/constants';
 import { hasFlag } from '../protocol/okPacket';
 
-/** Keys of the listener for callers. @public */
+/** TLS keys of the caller listener, in PEM format. @public */
 export interface CallerTls {
   certificate: Buffer;
   key: Buffer;
-  /** Must have signed the certificates of callers; without it callers need none. */
+  /** CA that must have signed caller certificates; if unset, callers need no certificate. */
   authority?: Buffer | undefined;
 }
 
 /** @internal */
-export interface TlsKeys {
+export interface TlsContext {
   context: SecureContext;
-  asksForCertificate: boolean;
+  isCertificateRequired: boolean;
 }
 
 /**
- * Reads the keys of a listener.
+ * Creates the TLS context of a listener.
  *
- * @throws Error of the TLS library where they cannot be used.
+ * @throws the TLS library's Error if the keys are invalid.
  * @internal
  */
-export function toTlsKeys({ certificate, key, authority }: CallerTls): TlsKeys {
+export function createTlsContext({ certificate, key, authority }: CallerTls): TlsContext {
   const context = createSecureContext({ cert: certificate, key, ca: authority });
-  return { context, asksForCertificate: authority !== undefined };
+  return { context, isCertificateRequired: authority !== undefined };
 }
 
-/** Bytes of the request for TLS: a login that is cut off before the name. */
-const REQUEST_PAYLOAD_BYTES = 32;
-const REQUEST_BYTES = HEADER_BYTES + REQUEST_PAYLOAD_BYTES;
+/** An SSL request is a login packet that ends before the user name. */
+const TLS_REQUEST_PAYLOAD_BYTES = 32;
+const TLS_REQUEST_BYTES = HEADER_BYTES + TLS_REQUEST_PAYLOAD_BYTES;
 
 /**
- * Lets a connection go over to TLS before its login.
+ * Allows a connection to be upgraded to TLS before login.
  *
- * A client that wants it sends the request and, without waiting, the first bytes of the TLS handshake.
- * The driver's parser would take those for packets, so the bytes are held back from it until it is
- * known which of the two the client does.
+ * A client may send the TLS handshake right after the SSL request. The driver would parse those bytes
+ * as packets, so data is buffered until the first packet is known to be a login.
  *
  * @internal
  */
-export function acceptTls(driver: DriverConnection, keys: TlsKeys): void {
+export function enableTlsUpgrade(driver: DriverConnection, tlsContext: TlsContext): void {
   const { packetParser, stream } = driver;
   let received = Buffer.alloc(0);
 
   const upgrade = (): void => {
     stream.removeAllListeners('data');
     stream.pause();
-    if (received.length > REQUEST_BYTES) stream.unshift(received.subarray(REQUEST_BYTES));
+    if (received.length > TLS_REQUEST_BYTES) stream.unshift(received.subarray(TLS_REQUEST_BYTES));
     const socket = new TLSSocket(stream, {
       isServer: true,
-      secureContext: keys.context,
-      requestCert: keys.asksForCertificate,
-      rejectUnauthorized: keys.asksForCertificate,
+      secureContext: tlsContext.context,
+      requestCert: tlsContext.isCertificateRequired,
+      rejectUnauthorized: tlsContext.isCertificateRequired,
     });
-    // A handshake that fails closes this connection alone.
+    // Without a handler, a failed handshake would end the process.
     socket.on('error', () => stream.destroy());
     Object.assign(driver, { packetParser, stream: socket, sequenceId: driver.sequenceId + 1 });
     socket.on('data', (chunk: Buffer) => driver.packetParser.execute(chunk));
@@ -63,7 +62,7 @@
 
   const execute = (chunk: Buffer): void => {
     received = Buffer.concat([received, chunk]);
-    if (received.length < REQUEST_BYTES && !isLongerLogin(received)) return;
+    if (received.length < TLS_REQUEST_BYTES && !isLoginHeader(received)) return;
     if (isTlsRequest(received)) {
       upgrade();
       return;
@@ -74,13 +73,16 @@
   Object.assign(driver, { packetParser: { execute } });
 }
 
-/** Whether the header already tells that this is no request for TLS. */
-function isLongerLogin(received: Buffer): boolean {
-  return received.length >= HEADER_BYTES && received.readUIntLE(0, 3) !== REQUEST_PAYLOAD_BYTES;
+/** Whether the header has the length of a login and not of an SSL request. */
+function isLoginHeader(received: Buffer): boolean {
+  return received.length >= HEADER_BYTES && received.readUIntLE(0, 3) !== TLS_REQUEST_PAYLOAD_BYTES;
 }
 
 function isTlsRequest(received: Buffer): boolean {
-  if (received.length < REQUEST_BYTES || received.readUIntLE(0, 3) !== REQUEST_PAYLOAD_BYTES) {
+  if (
+    received.length < TLS_REQUEST_BYTES ||
+    received.readUIntLE(0, 3) !== TLS_REQUEST_PAYLOAD_BYTES
+  ) {
     return false;
   }
   return received[3] === 1 && hasFlag(received.readUInt32LE(HEADER_BYTES), capability.tls);
--- a/packages/mysql/src/lib/control/groupControlConnection.ts
+++ b/packages/mysql/src/lib/control/groupControlConnection.ts
@@ -10,7 +10,7 @@
 import { readSingleValue } from './singleValue';
 import { createStatusReader } from './statusReader';
 
-/** A question or an order to a member about its group. @public */
+/** A status request or a role command for a group member. @public */
 export type ControlQuestion =
   | { type: 'askStatus' }
   | { type: 'fence'; term: number }
@@ -18,31 +18,30 @@
   | { type: 'follow'; term: number; primary: string; primaryAddress: string };
 
 /** @public */
-export type ControlAnswer =
+export type ControlResponse =
   { type: 'answered'; status: MemberStatus } | { type: 'failed'; reason: QuestionFailure };
 
 /** @public */
 export interface GroupControlConnectionOptions {
   address: UpstreamAddress;
-  /** Time within which a question is answered, the connection's opening included. */
+  /** Time limit for a request, including the time to connect. */
   timeoutMilliseconds: number;
 }
 
-/** Asks one member; its connection opens with the first question and after each failure. @public */
+/** Sends requests to one member; connects on demand, and again after a failure. @public */
 export interface GroupControlConnection {
-  ask: (question: ControlQuestion, onAnswer: (answer: ControlAnswer) => void) => void;
+  ask: (request: ControlQuestion, onAnswer: (answer: ControlResponse) => void) => void;
   close: () => void;
 }
 
-/** A question that has no answer yet. */
-interface OpenQuestion {
+interface PendingRequest {
   payload: Buffer;
   timer: NodeJS.Timeout;
-  onAnswer: (answer: ControlAnswer) => void;
+  onAnswer: (answer: ControlResponse) => void;
 }
 
 type SqlByType = {
-  [Type in ControlQuestion['type']]: (question: Extract<ControlQuestion, { type: Type }>) => string;
+  [Type in ControlQuestion['type']]: (request: Extract<ControlQuestion, { type: Type }>) => string;
 };
 
 const sqlByType: SqlByType = {
@@ -54,10 +53,10 @@
 };
 
 /**
- * Creates the connection for the questions about a group to one of its members.
+ * Creates the control connection to one member of a group.
  *
- * It is apart from the connections of statements, so that a question finds neither a queue nor a full
- * pool before it: a member that looks silent for want of a connection would be deposed.
+ * It is separate from the statement pool: a full pool would delay status requests, and the member
+ * would be considered failed and replaced as primary.
  *
  * @public
  */
@@ -65,90 +64,90 @@
   options: GroupControlConnectionOptions,
 ): GroupControlConnection {
   const { address, timeoutMilliseconds } = options;
-  const statuses = createStatusReader();
+  const statusReader = createStatusReader();
   let connection: UpstreamConnection | undefined;
-  let waiting: OpenQuestion[] = [];
-  let asked: OpenQuestion | undefined;
+  let queue: PendingRequest[] = [];
+  let pending: PendingRequest | undefined;
 
   function open(): void {
     const opened: UpstreamConnection = createUpstreamConnection({
       address,
       connectTimeoutMilliseconds: timeoutMilliseconds,
-      onOpened: () => askNext(),
-      onOpenFailed: () => onEnded(opened),
-      onClosed: () => onEnded(opened),
+      onOpened: () => sendNext(),
+      onOpenFailed: () => handleClosed(opened),
+      onClosed: () => handleClosed(opened),
     });
     connection = opened;
   }
 
-  /** A connection with an unanswered question is not used again: its late answer would be another's. */
-  function onEnded(ended: UpstreamConnection): void {
-    if (connection === ended) discard('unreachable');
+  function handleClosed(ended: UpstreamConnection): void {
+    if (connection === ended) failAll('unreachable');
   }
 
-  function discard(reason: QuestionFailure): void {
-    const failed = asked ? [asked, ...waiting] : waiting;
+  /** Closes the connection as well, since a late response could be matched to a later request. */
+  function failAll(reason: QuestionFailure): void {
+    const failed = pending ? [pending, ...queue] : queue;
     const discarded = connection;
     connection = undefined;
-    asked = undefined;
-    waiting = [];
+    pending = undefined;
+    queue = [];
     discarded?.destroy();
-    failed.forEach((question) => settle(question, { type: 'failed', reason }));
+    failed.forEach((request) => complete(request, { type: 'failed', reason }));
   }
 
-  function settle({ timer, onAnswer }: OpenQuestion, answer: ControlAnswer): void {
+  function complete({ timer, onAnswer }: PendingRequest, answer: ControlResponse): void {
     clearTimeout(timer);
     onAnswer(answer);
   }
 
-  function askNext(): void {
-    if (asked || !connection?.isOpen) return;
-    const question = waiting.shift();
-    if (!question) return;
-    asked = question;
+  function sendNext(): void {
+    if (pending || !connection?.isOpen) return;
+    const request = queue.shift();
+    if (!request) return;
+    pending = request;
     const frames: Buffer[] = [];
     connection.run(
-      { type: 'query', payload: question.payload },
+      { type: 'query', payload: request.payload },
       {
         onFrames: (part) => frames.push(...part),
-        onAnswered: (answer) => onAnswered(question, [...frames, ...answer.frames], answer),
+        onAnswered: (answer) => onAnswered(request, [...frames, ...answer.frames], answer),
         onLost: () => {},
       },
     );
   }
 
-  function onAnswered(question: OpenQuestion, frames: Buffer[], answer: CompletedAnswer): void {
-    if (asked !== question) return;
-    asked = undefined;
-    settle(question, toAnswer(frames, answer));
-    askNext();
+  function onAnswered(request: PendingRequest, frames: Buffer[], answer: CompletedAnswer): void {
+    if (pending !== request) return;
+    pending = undefined;
+    complete(request, toControlResponse(frames, answer));
+    sendNext();
   }
 
-  function toAnswer(frames: Buffer[], { final }: CompletedAnswer): ControlAnswer {
+  function toControlResponse(frames: Buffer[], { final }: CompletedAnswer): ControlResponse {
     if (final.type === 'error') return { type: 'failed', reason: 'refused' };
     const text = readSingleValue(frames);
-    const status = text && statuses.read(text);
-    // A database that answers something else is no member that can be counted on.
+    const status = text && statusReader.read(text);
+    // A database that sends no valid status is treated as unreachable.
     return status ? { type: 'answered', status } : { type: 'failed', reason: 'unreachable' };
   }
 
   return {
-    ask: (question, onAnswer) => {
-      const timer = setTimeout(() => discard('timeout'), timeoutMilliseconds);
-      waiting.push({ payload: encodeQuestion(question), timer, onAnswer });
+    ask: (request, onAnswer) => {
+      const timer = setTimeout(() => failAll('timeout'), timeoutMilliseconds);
+      queue.push({ payload: encodeRequest(request), timer, onAnswer });
       if (!connection) open();
-      askNext();
+      sendNext();
     },
-    close: () => discard('unreachable'),
+    close: () => failAll('unreachable'),
   };
 }
 
-const statusPayload = encodeQuery(sqlByType.askStatus({ type: 'askStatus' }));
+const STATUS_PAYLOAD = encodeQuery(sqlByType.askStatus({ type: 'askStatus' }));
 
-function encodeQuestion(question: ControlQuestion): Buffer {
-  if (question.type === 'askStatus') return statusPayload;
-  const sqlOf = sqlByType[question.type] as (question: ControlQuestion) => string;
-  return encodeQuery(sqlOf(question));
+function encodeRequest(request: ControlQuestion): Buffer {
+  if (request.type === 'askStatus') return STATUS_PAYLOAD;
+  const toSql = sqlByType[request.type] as (request: ControlQuestion) => string;
+  return encodeQuery(toSql(request));
 }
 
 function encodeQuery(sql: string): Buffer {
--- a/packages/mysql/src/lib/control/singleValue.ts
+++ b/packages/mysql/src/lib/control/singleValue.ts
@@ -1,11 +1,11 @@
 import { HEADER_BYTES } from '../protocol/constants';
-import { lengthEncodedSize, readLengthEncoded } from '../protocol/lengthEncoded';
+import { getLengthEncodedSize, readLengthEncoded } from '../protocol/lengthEncoded';
 
 /**
- * Finds the value in an answer of one row with one column.
+ * Reads the value of a result set with one row and one column.
  *
- * @param frames - frames of the answer before its last packet: column count, definition, end, row.
- * @returns the value's bytes, or undefined where the answer has another form.
+ * @param frames - the response without its final packet: column count, definition, EOF, row.
+ * @returns the value's bytes, or undefined if the response has any other form.
  * @internal
  */
 export function readSingleValue(frames: Buffer[]): Buffer | undefined {
@@ -13,7 +13,7 @@
   const payloads = splitPayloads(answer);
   const [columnCount, , , row] = payloads;
   if (payloads.length !== 4 || columnCount?.[0] !== 1 || !row || row.length === 0) return undefined;
-  const start = lengthEncodedSize(row, 0);
+  const start = getLengthEncodedSize(row, 0);
   const end = start + readLengthEncoded(row, 0);
   return end === row.length ? row.subarray(start, end) : undefined;
 }
--- a/packages/mysql/src/lib/control/statusReader.ts
+++ b/packages/mysql/src/lib/control/statusReader.ts
@@ -1,16 +1,16 @@
 import { memberStatusSchema, type MemberStatus } from '@wisterialift/schema';
 
-/** Reads the statuses of one member. @internal */
+/** Parses the status responses of one member. @internal */
 export interface StatusReader {
-  /** @returns undefined where the text is no status. */
+  /** @returns undefined if the text is not a valid status. */
   read: (text: Buffer) => MemberStatus | undefined;
 }
 
 /**
- * Creates a reader that remembers the last status.
+ * Creates a reader that caches the last status.
  *
- * While a write waits for a majority its members are asked again and again, and most answers are the
- * same as before; those are neither parsed nor checked anew.
+ * Members are polled frequently while a write waits for a majority. An unchanged response is neither
+ * parsed nor validated again.
  *
  * @internal
  */
--- a/packages/mysql/src/lib/driverConnection.ts
+++ b/packages/mysql/src/lib/driverConnection.ts
@@ -1,26 +1,26 @@
 import type { EventEmitter } from 'node:events';
 import type { Socket } from 'node:net';
 
-/** A packet as the driver's parser hands it on; the same object is used for the next one. @internal */
+/** A packet of the driver's parser, which reuses the object for the next packet. @internal */
 export interface DriverPacket {
   sequenceId: number;
-  /** Frames that the packet came in. */
+  /** Number of frames that the packet consisted of. */
   numPackets: number;
-  /** Holds the packet from `start`, where its header begins, to `end`. */
+  /** Contains the packet from `start`, where its header begins, to `end`. */
   buffer: Buffer;
   start: number;
   end: number;
 }
 
-/** A command of the driver's queue; the driver calls `execute` without a packet to start it. @internal */
+/** A command in the driver's queue, started by `execute` without a packet. @internal */
 export interface DriverCommand {
   /** @returns true once the command has ended. */
   execute: (packet: DriverPacket | undefined) => boolean;
-  /** Called when the connection breaks. */
+  /** Called when the connection fails. */
   onResult: (error: Error) => void;
 }
 
-/** Login of a client, as the driver's server half read it. @internal */
+/** Login of a client, as parsed by the driver's server side. @internal */
 export interface DriverLogin {
   user: string;
   database?: string;
@@ -41,11 +41,9 @@
 }
 
 /**
- * What the proxy uses of a mysql2 connection on both sides, besides its typed interface.
+ * The members of a mysql2 connection that the proxy uses but the library does not declare.
  *
- * mysql2 has the framing, the handshakes and a queue of commands; its types leave out the parts that a
- * server, or a client that passes raw packets on, needs. They are named here alone, so that a new
- * version of the library is checked in one place (the tests of the package use every one).
+ * All of them are declared here, so that a new version of the library is checked in one place.
  *
  * @internal
  */
@@ -61,7 +59,7 @@
 
 const HEADER_BYTES = 4;
 
-/** Payload of a packet, without a copy. @internal */
-export function payloadOf({ buffer, start, end }: DriverPacket): Buffer {
+/** Returns the payload of a packet without copying it. @internal */
+export function getPayload({ buffer, start, end }: DriverPacket): Buffer {
   return buffer.subarray(start + HEADER_BYTES, end);
 }
--- a/packages/mysql/src/lib/protocol/constants.ts
+++ b/packages/mysql/src/lib/protocol/constants.ts
@@ -1,4 +1,4 @@
-/** Capability flags of the MySQL protocol that the proxy speaks of. @internal */
+/** Capability flags of the MySQL protocol. @internal */
 export const capability = {
   longPassword: 0x0000_0001,
   foundRows: 0x0000_0002,
@@ -17,7 +17,7 @@
   sessionTrack: 0x0080_0000,
 } as const;
 
-/** Bits of the status that OK and EOF packets carry. @public */
+/** Status flags in OK and EOF packets. @public */
 export const serverStatus = {
   inTransaction: 0x0001,
   autocommit: 0x0002,
@@ -39,7 +39,7 @@
   resetConnection: 0x1f,
 } as const;
 
-/** First byte of an answer's packet. @internal */
+/** First byte of a response packet. @internal */
 export const marker = { ok: 0x00, localFile: 0xfb, eof: 0xfe, error: 0xff } as const;
 
 /** Kinds of session-track entries. @internal */
@@ -48,11 +48,11 @@
 /** Column types of the protocol. @internal */
 export const columnType = { variableString: 0xfd } as const;
 
-/** Collation number of utf8mb4_general_ci, which every connection of the proxy uses. @internal */
+/** Id of utf8mb4_general_ci, the collation of all connections. @internal */
 export const UTF8MB4_COLLATION = 45;
 
-/** Bytes of a frame's header: length and sequence number. @internal */
+/** Size of a frame header: payload length and sequence number. @internal */
 export const HEADER_BYTES = 4;
 
-/** Payload bytes of one frame; a payload of this length or more goes on in the next frame. @internal */
-export const LARGEST_FRAME = 0xff_ffff;
+/** Payloads of this size or more are continued in the next frame. @internal */
+export const MAXIMUM_FRAME_PAYLOAD_BYTES = 0xff_ffff;
--- a/packages/mysql/src/lib/protocol/errorPacket.ts
+++ b/packages/mysql/src/lib/protocol/errorPacket.ts
@@ -1,6 +1,6 @@
 import { marker } from './constants';
 
-/** An error as the protocol carries it. @public */
+/** The content of an ERR packet. @public */
 export interface SqlError {
   code: number;
   /** SQLSTATE, five characters. */
@@ -8,25 +8,25 @@
   message: string;
 }
 
-const STATE_MARKER = '#';
-const STATE_AT = 4;
-const MESSAGE_AT = 9;
-const GENERAL_STATE = 'HY000';
+const SQL_STATE_MARKER = '#';
+const SQL_STATE_OFFSET = 4;
+const MESSAGE_OFFSET = 9;
+const GENERAL_SQL_STATE = 'HY000';
 
-/** Reads the payload of an ERR packet. @internal */
+/** Parses the payload of an ERR packet. @internal */
 export function parseError(payload: Buffer): SqlError {
   const code = payload.readUInt16LE(1);
-  const hasState = payload.toString('latin1', 3, STATE_AT) === STATE_MARKER;
-  if (!hasState) return { code, state: GENERAL_STATE, message: payload.toString('utf8', 3) };
+  const hasState = payload.toString('latin1', 3, SQL_STATE_OFFSET) === SQL_STATE_MARKER;
+  if (!hasState) return { code, state: GENERAL_SQL_STATE, message: payload.toString('utf8', 3) };
   return {
     code,
-    state: payload.toString('latin1', STATE_AT, MESSAGE_AT),
-    message: payload.toString('utf8', MESSAGE_AT),
+    state: payload.toString('latin1', SQL_STATE_OFFSET, MESSAGE_OFFSET),
+    message: payload.toString('utf8', MESSAGE_OFFSET),
   };
 }
 
-/** Writes the payload of an ERR packet. @internal */
+/** Encodes the payload of an ERR packet. @internal */
 export function encodeError({ code, state, message }: SqlError): Buffer {
   const head = Buffer.from([marker.error, code % 256, Math.floor(code / 256)]);
-  return Buffer.concat([head, Buffer.from(`${STATE_MARKER}${state}${message}`)]);
+  return Buffer.concat([head, Buffer.from(`${SQL_STATE_MARKER}${state}${message}`)]);
 }
--- a/packages/mysql/src/lib/protocol/frames.ts
+++ b/packages/mysql/src/lib/protocol/frames.ts
@@ -1,20 +1,27 @@
-import { HEADER_BYTES, LARGEST_FRAME } from './constants';
+import { HEADER_BYTES, MAXIMUM_FRAME_PAYLOAD_BYTES } from './constants';
 
-const SEQUENCE_NUMBERS = 256;
+const SEQUENCE_NUMBER_COUNT = 256;
 
 /**
- * Puts a payload into frames, each with its length and sequence number.
+ * Splits a payload into frames and adds their headers.
  *
- * @param sequence - number of the first frame; it wraps at 256.
+ * @param sequence - sequence number of the first frame; wraps at 256.
  * @public
  */
 export function toFrames(payload: Buffer, sequence: number): Buffer {
-  if (payload.length < LARGEST_FRAME) return toFrame(payload, sequence);
+  if (payload.length < MAXIMUM_FRAME_PAYLOAD_BYTES) return toFrame(payload, sequence);
   const frames: Buffer[] = [];
   let offset = 0;
-  for (; payload.length - offset >= LARGEST_FRAME; offset += LARGEST_FRAME) {
+  for (
+    ;
+    payload.length - offset >= MAXIMUM_FRAME_PAYLOAD_BYTES;
+    offset += MAXIMUM_FRAME_PAYLOAD_BYTES
+  ) {
     frames.push(
-      toFrame(payload.subarray(offset, offset + LARGEST_FRAME), sequence + frames.length),
+      toFrame(
+        payload.subarray(offset, offset + MAXIMUM_FRAME_PAYLOAD_BYTES),
+        sequence + frames.length,
+      ),
     );
   }
   frames.push(toFrame(payload.subarray(offset), sequence + frames.length));
@@ -24,7 +31,7 @@
 function toFrame(payload: Buffer, sequence: number): Buffer {
   const frame = Buffer.allocUnsafe(HEADER_BYTES + payload.length);
   frame.writeUIntLE(payload.length, 0, 3);
-  frame.writeUInt8(sequence % SEQUENCE_NUMBERS, 3);
+  frame.writeUInt8(sequence % SEQUENCE_NUMBER_COUNT, 3);
   payload.copy(frame, HEADER_BYTES);
   return frame;
 }
--- a/packages/mysql/src/lib/protocol/textResult.ts
+++ b/packages/mysql/src/lib/protocol/textResult.ts
@@ -1,22 +1,22 @@
 import { UTF8MB4_COLLATION, columnType, marker, serverStatus } from './constants';
 import { encodeLength, encodeWithLength } from './lengthEncoded';
 
-/** Rows of text that the proxy answers by itself. @public */
+/** A result set of text columns that the proxy generates itself. @public */
 export interface TextResult {
   columns: string[];
   rows: (string | null)[][];
-  /** Whether the rows answer a prepared statement. */
+  /** Whether rows use the binary format, as for prepared statements. */
   isBinary?: boolean;
 }
 
-/** Bits of a binary row's NULL map that stand before the first column's. */
-const RESERVED_BITS = 2;
-const BITS = 8;
+/** Unused bits at the start of the NULL bitmap of a binary row. */
+const NULL_MAP_RESERVED_BITS = 2;
+const BITS_PER_BYTE = 8;
 
 const NULL_VALUE = Buffer.from([0xfb]);
-const LONGEST_VALUE = 65_535;
+const MAXIMUM_VALUE_BYTES = 65_535;
 
-/** Writes the payloads of a text result set, one a packet. @internal */
+/** Encodes a result set as payloads, one for each packet. @internal */
 export function encodeTextResult(result: TextResult, status: number): Buffer[] {
   const { columns, rows, isBinary } = result;
   return [
@@ -28,7 +28,7 @@
   ];
 }
 
-/** Writes the payload of an EOF packet. @internal */
+/** Encodes the payload of an EOF packet. @internal */
 export function encodeEof(status: number = serverStatus.autocommit): Buffer {
   const payload = Buffer.from([marker.eof, 0, 0, 0, 0]);
   payload.writeUInt16LE(status, 3);
@@ -36,13 +36,13 @@
 }
 
 function encodeColumn(name: string): Buffer {
-  const fixed = Buffer.alloc(13);
-  fixed.writeUInt8(12, 0);
-  fixed.writeUInt16LE(UTF8MB4_COLLATION, 1);
-  fixed.writeUInt32LE(LONGEST_VALUE, 3);
-  fixed.writeUInt8(columnType.variableString, 7);
+  const fixedFields = Buffer.alloc(13);
+  fixedFields.writeUInt8(12, 0);
+  fixedFields.writeUInt16LE(UTF8MB4_COLLATION, 1);
+  fixedFields.writeUInt32LE(MAXIMUM_VALUE_BYTES, 3);
+  fixedFields.writeUInt8(columnType.variableString, 7);
   const names = ['def', '', '', '', name, name].map(encodeWithLength);
-  return Buffer.concat([...names, fixed]);
+  return Buffer.concat([...names, fixedFields]);
 }
 
 function encodeRow(row: (string | null)[]): Buffer {
@@ -50,13 +50,13 @@
 }
 
 function encodeBinaryRow(row: (string | null)[]): Buffer {
-  const nulls = Buffer.alloc(Math.ceil((row.length + RESERVED_BITS) / BITS));
+  const nullMap = Buffer.alloc(Math.ceil((row.length + NULL_MAP_RESERVED_BITS) / BITS_PER_BYTE));
   row.forEach((value, column) => {
     if (value !== null) return;
-    const bit = column + RESERVED_BITS;
-    const byte = Math.floor(bit / BITS);
-    nulls.writeUInt8(nulls.readUInt8(byte) + 2 ** (bit % BITS), byte);
+    const bit = column + NULL_MAP_RESERVED_BITS;
+    const byte = Math.floor(bit / BITS_PER_BYTE);
+    nullMap.writeUInt8(nullMap.readUInt8(byte) + 2 ** (bit % BITS_PER_BYTE), byte);
   });
   const values = row.filter((value) => value !== null).map(encodeWithLength);
-  return Buffer.concat([Buffer.from([0]), nulls, ...values]);
+  return Buffer.concat([Buffer.from([0]), nullMap, ...values]);
 }
--- a/packages/mysql/src/lib/upstream/frameCollector.ts
+++ b/packages/mysql/src/lib/upstream/frameCollector.ts
@@ -1,21 +1,20 @@
-import { payloadOf, type DriverPacket } from '../driverConnection';
+import { getPayload, type DriverPacket } from '../driverConnection';
 import { HEADER_BYTES } from '../protocol/constants';
 import { toFrames } from '../protocol/frames';
 
 const LENGTH_BYTES = 3;
 
-/** Gathers the frames of packets that pass through, joined where they lie side by side. @internal */
+/** Collects the frames to forward; adjacent frames are joined. @internal */
 export interface FrameCollector {
   add: (packet: DriverPacket) => void;
-  /** Gives the frames since the last call. */
+  /** Returns and removes the collected frames. */
   take: () => Buffer[];
 }
 
 /**
- * Creates a collector.
+ * Creates a frame collector.
  *
- * Packets that the parser found in one chunk of the socket are passed on as one slice of it, so the
- * cost of a row is that of finding its end, whatever it holds.
+ * Adjacent packets in one chunk of the socket are forwarded as one slice, without copying rows.
  *
  * @internal
  */
@@ -25,7 +24,7 @@
   let start = 0;
   let end = 0;
 
-  const closeSlice = (): void => {
+  const endSlice = (): void => {
     if (chunk) frames.push(chunk.subarray(start, end));
     chunk = undefined;
   };
@@ -33,21 +32,21 @@
   return {
     add: (packet) => {
       if (packet.numPackets > 1) {
-        closeSlice();
-        // The parser joined a packet of several frames and left their headers out.
-        frames.push(toFrames(payloadOf(packet), packet.sequenceId));
+        endSlice();
+        // The parser joins the payloads of several frames and drops their headers.
+        frames.push(toFrames(getPayload(packet), packet.sequenceId));
         return;
       }
       if (packet.buffer !== chunk || packet.start !== end) {
-        closeSlice();
-        restoreLength(packet);
+        endSlice();
+        restoreFrameLength(packet);
         chunk = packet.buffer;
         start = packet.start;
       }
       end = packet.end;
     },
     take: () => {
-      closeSlice();
+      endSlice();
       const taken = frames;
       frames = [];
       return taken;
@@ -56,10 +55,9 @@
 }
 
 /**
- * Guards against a frame whose length is whatever the memory held before: the parser puts a packet that
- * came in two chunks together without the first three bytes of its header. It shows as rows that go
- * missing at the caller. Such a packet stands at the start of a buffer of its own.
+ * Writes the length into the frame header. The parser leaves it uninitialized in a packet that it
+ * joins from two chunks, which starts a buffer of its own; callers would lose rows.
  */
-function restoreLength({ buffer, start, end }: DriverPacket): void {
+function restoreFrameLength({ buffer, start, end }: DriverPacket): void {
   if (start === 0) buffer.writeUIntLE(end - HEADER_BYTES, 0, LENGTH_BYTES);
 }
--- a/packages/mysql/src/lib/upstream/answerReader.ts
+++ b/packages/mysql/src/lib/upstream/responseReader.ts
@@ -5,39 +5,39 @@
 import { hasFlag, parseOk } from '../protocol/okPacket';
 import type { FinalPacket } from './upstreamStatement';
 
-/** Finds the end of an answer by the first bytes of its packets. @internal */
-export interface AnswerReader {
+/** Detects the final packet of a response. @internal */
+export interface ResponseReader {
   /**
-   * @param payload - the next packet's payload.
-   * @returns the answer's final packet, or undefined while the answer goes on.
-   * @throws ProtocolError where the packet has no place in an answer.
+   * @param payload - payload of the next packet.
+   * @returns the final packet, or undefined if more packets follow.
+   * @throws ProtocolError if the packet is not allowed at this point.
    */
   read: (payload: Buffer) => FinalPacket | undefined;
 }
 
-/** A database sent what the protocol does not allow. @public */
+/** Thrown when a database violates the protocol. @public */
 export class ProtocolError extends Error {
   override name = 'ProtocolError';
 }
 
-/** An EOF packet is shorter than a row that begins with the same byte. */
-const EOF_BYTES = 9;
+/** Rows may start with the EOF marker too, but are at least this long. */
+const EOF_LENGTH_LIMIT_BYTES = 9;
 
 type State = 'header' | 'columns' | 'rows';
 
 /**
- * Creates the reader of an answer to a query or an execute command.
+ * Creates a reader for the response to a query or execute command.
  *
- * Statements such as CALL have several results, each with a status that says whether another follows.
+ * Statements such as CALL return several results; the status of each shows whether another follows.
  *
  * @internal
  */
-export function createAnswerReader(): AnswerReader {
+export function createResponseReader(): ResponseReader {
   let state: State = 'header';
-  let columnsLeft = 0;
+  let remainingColumns = 0;
 
   const isEof = (payload: Buffer): boolean =>
-    payload[0] === marker.eof && payload.length < EOF_BYTES;
+    payload[0] === marker.eof && payload.length < EOF_LENGTH_LIMIT_BYTES;
 
   const readersByState: Record<State, (payload: Buffer) => FinalPacket | undefined> = {
     header: (payload) => {
@@ -46,18 +46,18 @@
         return hasFlag(ok.status, serverStatus.moreResults) ? undefined : { type: 'ok', ok };
       }
       if (payload.length === 0 || payload[0] === marker.localFile || payload[0] === marker.eof) {
-        throw new ProtocolError('unexpected packet at the start of an answer');
+        throw new ProtocolError('unexpected packet at the start of a response');
       }
-      columnsLeft = readLengthEncoded(payload, 0);
+      remainingColumns = readLengthEncoded(payload, 0);
       state = 'columns';
       return undefined;
     },
     columns: (payload) => {
-      if (columnsLeft > 0) {
-        columnsLeft -= 1;
+      if (remainingColumns > 0) {
+        remainingColumns -= 1;
         return undefined;
       }
-      if (!isEof(payload)) throw new ProtocolError('no end after the column definitions');
+      if (!isEof(payload)) throw new ProtocolError('no EOF after the column definitions');
       state = 'rows';
       return undefined;
     },
@@ -81,16 +81,16 @@
 
 const PREPARED_HEADER_BYTES = 12;
 
-/** Number of the packet after the header. */
-const FIRST_DEFINITION = 2;
+/** Sequence number of the packet after the header. */
+const FIRST_DEFINITION_SEQUENCE = 2;
 
-/** Creates the reader of an answer to a prepare command. @internal */
-export function createPrepareReader(): AnswerReader {
+/** Creates a reader for the response to a prepare command. @internal */
+export function createPrepareResponseReader(): ResponseReader {
   let header: Buffer | undefined;
-  let packetsLeft = 0;
+  let remainingPackets = 0;
   const definitions: Buffer[] = [];
 
-  const final = (first: Buffer): FinalPacket => ({
+  const createFinalPacket = (first: Buffer): FinalPacket => ({
     type: 'prepared',
     description: { header: Buffer.from(first), definitions: Buffer.concat(definitions) },
   });
@@ -100,21 +100,21 @@
       if (payload[0] === marker.error) return { type: 'error', error: parseError(payload) };
       if (!header) {
         if (payload.length < PREPARED_HEADER_BYTES || payload[0] !== marker.ok) {
-          throw new ProtocolError('unexpected packet at the start of a prepared statement');
+          throw new ProtocolError('unexpected packet at the start of a prepare response');
         }
         header = Buffer.from(payload);
-        packetsLeft = definitionPackets(header);
+        remainingPackets = countDefinitionPackets(header);
       } else {
-        definitions.push(toFrames(payload, definitions.length + FIRST_DEFINITION));
-        packetsLeft -= 1;
+        definitions.push(toFrames(payload, definitions.length + FIRST_DEFINITION_SEQUENCE));
+        remainingPackets -= 1;
       }
-      return packetsLeft === 0 ? final(header) : undefined;
+      return remainingPackets === 0 ? createFinalPacket(header) : undefined;
     },
   };
 }
 
-/** Definitions of parameters and of columns, each list with an EOF packet when it is not empty. */
-function definitionPackets(header: Buffer): number {
-  const lists = [header.readUInt16LE(5), header.readUInt16LE(7)];
-  return lists.reduce((sum, length) => sum + (length > 0 ? length + 1 : 0), 0);
+/** Counts parameter and column definitions; each non-empty list ends with an EOF packet. */
+function countDefinitionPackets(header: Buffer): number {
+  const definitionCounts = [header.readUInt16LE(5), header.readUInt16LE(7)];
+  return definitionCounts.reduce((sum, count) => sum + (count > 0 ? count + 1 : 0), 0);
 }
--- a/packages/mysql/src/lib/upstream/upstreamConnection.ts
+++ b/packages/mysql/src/lib/upstream/upstreamConnection.ts
@@ -1,24 +1,28 @@
 import { createConnection, type ConnectionOptions } from 'mysql2';
 import {
-  payloadOf,
+  getPayload,
   type DriverCommand,
   type DriverConnection,
   type DriverPacket,
 } from '../driverConnection';
 import { commandCode } from '../protocol/constants';
 import { toFrames } from '../protocol/frames';
-import { createAnswerReader, createPrepareReader, type AnswerReader } from './answerReader';
+import {
+  createResponseReader,
+  createPrepareResponseReader,
+  type ResponseReader,
+} from './responseReader';
 import { createFrameCollector } from './frameCollector';
-import { createPreparedCache } from './preparedCache';
+import { createPreparedStatementCache } from './preparedStatementCache';
 import type {
-  AnswerReceiver,
+  ResponseReceiver,
   CompletedAnswer,
   FinalPacket,
   PreparedDescription,
   UpstreamStatement,
 } from './upstreamStatement';
 
-/** Where a database listens, and the account to use there. @public */
+/** Address and credentials of a database. @public */
 export interface UpstreamAddress {
   host: string;
   port: number;
@@ -26,40 +30,40 @@
   password: string;
 }
 
-/** Why a connection could not be opened. @public */
+/** Reason why a connection could not be opened. @public */
 export type ConnectFailure = 'connectionLimit' | 'connectFailed';
 
 /** @public */
 export interface UpstreamConnectionOptions {
   address: UpstreamAddress;
   connectTimeoutMilliseconds: number;
-  /** Prepared statements that the connection keeps. */
-  preparedStatements?: number;
+  /** Size of the connection's cache of prepared statements. */
+  maximumPreparedStatements?: number;
   onOpened: () => void;
   onOpenFailed: (failure: ConnectFailure) => void;
-  /** An open connection ended; told once, after `onLost` of a running statement. */
+  /** Called once when an open connection closes, after `onLost` of a running statement. */
   onClosed: () => void;
 }
 
-/** A connection to a database that runs one statement at a time. @public */
+/** A database connection that runs one statement at a time. @public */
 export interface UpstreamConnection {
   readonly isOpen: boolean;
-  run: (statement: UpstreamStatement, receiver: AnswerReceiver) => void;
-  /** Ends transactions, temporary tables and variables; `onReset` is not called if the connection ends. */
+  run: (statement: UpstreamStatement, receiver: ResponseReceiver) => void;
+  /** Resets the session state; `onReset` is not called if the connection closes first. */
   reset: (onReset: () => void) => void;
-  /** Stops reading while the answer's receiver is full. */
+  /** Pauses reading, for backpressure from the receiver. */
   pause: () => void;
   resume: () => void;
-  /** Ends the connection at once; nothing of a late answer is read. */
+  /** Closes the connection immediately and discards outstanding responses. */
   destroy: () => void;
 }
 
-/** mysql2 asks for session tracking by itself; what would change the packets is taken out. */
+/** Disables mysql2's default flags that change packets; session tracking is on by default. */
 const DRIVER_FLAGS = ['-CLIENT_QUERY_ATTRIBUTES', '-LOCAL_FILES', '-IGNORE_SPACE', '-ODBC'];
 
-const TOO_MANY_CONNECTIONS = 1040;
-const DEFAULT_PREPARED_STATEMENTS = 64;
-const STATEMENT_ID_AT = 1;
+const TOO_MANY_CONNECTIONS_ERROR_CODE = 1040;
+const DEFAULT_MAXIMUM_PREPARED_STATEMENTS = 64;
+const STATEMENT_ID_OFFSET = 1;
 const COMMAND_SEQUENCE = 0;
 
 type State = 'opening' | 'open' | 'closed';
@@ -67,27 +71,29 @@
 /**
  * Opens a connection to a database.
  *
- * Answers pass through as the frames that the database sent. Only the last packet of an answer is
- * read, since it tells how the statement ended and what the caller is told depends on it.
+ * Responses are forwarded as the frames that the database sent. The final packet is parsed, since
+ * the proxy needs the statement's outcome.
  *
  * @public
  */
 export function createUpstreamConnection(options: UpstreamConnectionOptions): UpstreamConnection {
   const driver = openDriver(options);
   const { stream } = driver;
-  const collector = createFrameCollector();
-  const prepared = createPreparedCache(options.preparedStatements ?? DEFAULT_PREPARED_STATEMENTS);
+  const frameCollector = createFrameCollector();
+  const statementCache = createPreparedStatementCache(
+    options.maximumPreparedStatements ?? DEFAULT_MAXIMUM_PREPARED_STATEMENTS,
+  );
   let state: State = 'opening';
-  let receiver: AnswerReceiver | undefined;
+  let receiver: ResponseReceiver | undefined;
 
   const close = (failure: ConnectFailure): void => {
     if (state === 'closed') return;
     const wasOpen = state === 'open';
     state = 'closed';
     stream.destroy();
-    const lost = receiver;
+    const interruptedReceiver = receiver;
     receiver = undefined;
-    lost?.onLost();
+    interruptedReceiver?.onLost();
     if (wasOpen) options.onClosed();
     else options.onOpenFailed(failure);
   };
@@ -98,33 +104,32 @@
     options.onOpened();
   });
   driver.on('error', (error: { errno?: number }) => {
-    close(error.errno === TOO_MANY_CONNECTIONS ? 'connectionLimit' : 'connectFailed');
+    close(error.errno === TOO_MANY_CONNECTIONS_ERROR_CODE ? 'connectionLimit' : 'connectFailed');
   });
-  // A packet out of order means that the answers have crossed: nothing of this connection can be
-  // told apart any more.
+  // The driver warns of a packet out of order: responses can no longer be matched to commands.
   driver.on('warn', () => close('connectFailed'));
   stream.on('close', () => close('connectFailed'));
-  // After the driver's own listener, so that each chunk's frames leave together.
+  // Runs after the driver's listener has parsed the chunk, so its frames are forwarded together.
   stream.on('data', () => {
     if (!receiver) return;
-    const frames = collector.take();
+    const frames = frameCollector.take();
     if (frames.length > 0) receiver.onFrames(frames, driver.sequenceId);
   });
 
-  /** Sends a command and reads its answer; `onDone` gets the final packet. */
+  /** Sends a command and reads its response; `onDone` receives the final packet. */
   const send = (
     frames: Buffer[],
-    reader: AnswerReader,
-    isPassedOn: boolean,
+    reader: ResponseReader,
+    isForwarded: boolean,
     onDone: (answer: CompletedAnswer) => void,
   ): void => {
     const readPacket = (packet: DriverPacket): boolean => {
       const final = readOrClose(reader, packet);
       if (final) {
-        onDone({ final, frames: collector.take(), sequence: packet.sequenceId });
+        onDone({ final, frames: frameCollector.take(), sequence: packet.sequenceId });
         return true;
       }
-      if (isPassedOn) collector.add(packet);
+      if (isForwarded) frameCollector.add(packet);
       return false;
     };
     const command: DriverCommand = {
@@ -140,56 +145,56 @@
     driver.addCommand(command);
   };
 
-  function readOrClose(reader: AnswerReader, packet: DriverPacket): FinalPacket | undefined {
+  function readOrClose(reader: ResponseReader, packet: DriverPacket): FinalPacket | undefined {
     try {
-      return reader.read(payloadOf(packet));
+      return reader.read(getPayload(packet));
     } catch {
-      // Whatever the packet was, the end of this answer cannot be found any more.
+      // After an invalid packet, the end of the response cannot be determined.
       close('connectFailed');
       return undefined;
     }
   }
 
   const finish = (answer: CompletedAnswer): void => {
-    const finished = receiver;
+    const finishedReceiver = receiver;
     receiver = undefined;
-    finished?.onAnswered(answer);
+    finishedReceiver?.onAnswered(answer);
   };
 
   const prepare = (sql: string, onPrepared: (answer: CompletedAnswer) => void): void => {
     const payload = Buffer.concat([Buffer.from([commandCode.prepare]), Buffer.from(sql)]);
-    send([toFrames(payload, COMMAND_SEQUENCE)], createPrepareReader(), false, (answer) => {
-      if (answer.final.type === 'prepared') remember(sql, answer.final.description);
+    send([toFrames(payload, COMMAND_SEQUENCE)], createPrepareResponseReader(), false, (answer) => {
+      if (answer.final.type === 'prepared') cacheStatementId(sql, answer.final.description);
       onPrepared(answer);
     });
   };
 
-  function remember(sql: string, { header }: PreparedDescription): void {
-    const dropped = prepared.add(sql, header.readUInt32LE(STATEMENT_ID_AT));
-    dropped.forEach((statementId) => stream.write(closeCommand(statementId)));
+  function cacheStatementId(sql: string, { header }: PreparedDescription): void {
+    const evictedIds = statementCache.add(sql, header.readUInt32LE(STATEMENT_ID_OFFSET));
+    evictedIds.forEach((statementId) => stream.write(encodeCloseStatement(statementId)));
   }
 
   const execute = (statementId: number, { payload, longData }: ExecuteStatement): void => {
     const frames = [...longData, payload].map((command) =>
-      toFrames(withStatementId(command, statementId), COMMAND_SEQUENCE),
+      toFrames(replaceStatementId(command, statementId), COMMAND_SEQUENCE),
     );
-    send(frames, createAnswerReader(), true, finish);
+    send(frames, createResponseReader(), true, finish);
   };
 
   const runners: RunnersByType = {
     query: ({ payload }) => {
-      send([toFrames(payload, COMMAND_SEQUENCE)], createAnswerReader(), true, finish);
+      send([toFrames(payload, COMMAND_SEQUENCE)], createResponseReader(), true, finish);
     },
     prepare: ({ sql }) => prepare(sql, finish),
     execute: (statement) => {
-      const known = prepared.get(statement.sql);
-      if (known !== undefined) {
-        execute(known, statement);
+      const cachedId = statementCache.get(statement.sql);
+      if (cachedId !== undefined) {
+        execute(cachedId, statement);
         return;
       }
       prepare(statement.sql, (answer) => {
         if (answer.final.type !== 'prepared') finish(answer);
-        else execute(answer.final.description.header.readUInt32LE(STATEMENT_ID_AT), statement);
+        else execute(answer.final.description.header.readUInt32LE(STATEMENT_ID_OFFSET), statement);
       });
     },
   };
@@ -208,9 +213,9 @@
       run(statement);
     },
     reset: (onReset) => {
-      prepared.clear();
+      statementCache.clear();
       const frames = [toFrames(Buffer.from([commandCode.resetConnection]), COMMAND_SEQUENCE)];
-      send(frames, createAnswerReader(), false, ({ final }) => {
+      send(frames, createResponseReader(), false, ({ final }) => {
         if (final.type === 'ok') onReset();
         else close('connectFailed');
       });
@@ -236,21 +241,21 @@
     charset: 'UTF8MB4_GENERAL_CI',
     connectTimeout: connectTimeoutMilliseconds,
     flags: DRIVER_FLAGS,
-    // This module keeps prepared statements itself; the driver's own cache would take half a megabyte.
+    // The driver's statement cache is unused, and its default size takes 0.5 MB.
     maxPreparedStatements: 1,
   };
   return createConnection(connectionOptions) as unknown as DriverConnection;
 }
 
-function withStatementId(command: Buffer, statementId: number): Buffer {
+function replaceStatementId(command: Buffer, statementId: number): Buffer {
   const copy = Buffer.from(command);
-  copy.writeUInt32LE(statementId, STATEMENT_ID_AT);
+  copy.writeUInt32LE(statementId, STATEMENT_ID_OFFSET);
   return copy;
 }
 
-function closeCommand(statementId: number): Buffer {
+function encodeCloseStatement(statementId: number): Buffer {
   const payload = Buffer.alloc(5);
   payload.writeUInt8(commandCode.closeStatement, 0);
-  payload.writeUInt32LE(statementId, STATEMENT_ID_AT);
+  payload.writeUInt32LE(statementId, STATEMENT_ID_OFFSET);
   return toFrames(payload, COMMAND_SEQUENCE);
 }
--- a/packages/mysql/src/lib/upstream/upstreamStatement.ts
+++ b/packages/mysql/src/lib/upstream/upstreamStatement.ts
@@ -1,49 +1,49 @@
 import type { OkPacket } from '../protocol/okPacket';
 import type { SqlError } from '../protocol/errorPacket';
 
-/** A statement for one connection to a database. @public */
+/** A statement to run on a database connection. @public */
 export type UpstreamStatement =
-  /** `payload` is the whole command, its code included. */
+  /** `payload` is the whole command, including the command code. */
   | { type: 'query'; payload: Buffer }
   | { type: 'prepare'; sql: string }
-  /** `payload` is the execute command; the statement's id in it is replaced by the connection's own. */
+  /** The statement id in `payload` is replaced by the id on the connection. */
   | { type: 'execute'; sql: string; payload: Buffer; longData: Buffer[] };
 
-/** The last packet of an answer, which tells how the statement ended. @public */
+/** The final packet of a response, with the statement's outcome. @public */
 export type FinalPacket =
   | { type: 'ok'; ok: OkPacket }
-  /** The end of the rows. */
+  /** Ends a result set. */
   | { type: 'eof'; payload: Buffer }
   | { type: 'error'; error: SqlError }
   | { type: 'prepared'; description: PreparedDescription };
 
-/** A database's answer to a prepared statement. @public */
+/** A database's response to a prepare command. @public */
 export interface PreparedDescription {
-  /** Payload of the first packet; bytes 1 to 4 are the statement's id at the database. */
+  /** Payload of the first packet; bytes 1 to 4 are the database's statement id. */
   header: Buffer;
-  /** Frames of the definitions that follow, numbered from 2. */
+  /** Frames of the definitions, with sequence numbers from 2. */
   definitions: Buffer;
 }
 
-/** Takes an answer as it comes. @public */
-export interface AnswerReceiver {
+/** Receives the response to a statement. @public */
+export interface ResponseReceiver {
   /**
-   * Frames of an answer that goes on, to be passed on as they are.
+   * Called with frames to forward unchanged while the response is incomplete.
    *
-   * @param nextSequence - number of the packet that follows them.
+   * @param nextSequence - sequence number of the next packet.
    */
   onFrames: (frames: Buffer[], nextSequence: number) => void;
-  /** The answer is whole; the connection takes the next statement. */
+  /** The response is complete; the connection accepts the next statement. */
   onAnswered: (answer: CompletedAnswer) => void;
-  /** The connection ended before the answer did. */
+  /** The connection closed before the response was complete. */
   onLost: () => void;
 }
 
 /** @public */
 export interface CompletedAnswer {
   final: FinalPacket;
-  /** Frames before the final packet that `onFrames` has not had. */
+  /** Frames before the final packet that were not passed to `onFrames`. */
   frames: Buffer[];
-  /** Number of the final packet within the answer. */
+  /** Sequence number of the final packet. */
   sequence: number;
 }
