--- a/packages/cli/src/index.ts
+++ b/packages/cli/src/index.ts
@@ -6,4 +6,4 @@
 } from './lib/client/administrationClient';
 export type { CommandContext } from './lib/commands/commandContext';
 export { VERSION, createProgram } from './lib/createProgram';
-export { UNEXPECTED_EXIT_CODE, runProgram, type ProgramRun } from './lib/runProgram';
+export { UNEXPECTED_EXIT_CODE, runProgram, type ProgramOptions } from './lib/runProgram';
--- a/packages/cli/src/lib/client/administrationClient.ts
+++ b/packages/cli/src/lib/client/administrationClient.ts
@@ -1,17 +1,17 @@
 import { request as sendRequest } from 'node:http';
 import { ClientError } from './clientError';
 
-/** @public */
+/** Client of one instance's administration API; responses are not validated. @public */
 export interface AdministrationClient {
-  get: <Answer>(path: string) => Promise<Answer>;
-  post: <Answer>(path: string, body?: object) => Promise<Answer>;
-  /** The same client for another instance. */
-  at: (address: string) => AdministrationClient;
+  get: <Body>(path: string) => Promise<Body>;
+  post: <Body>(path: string, body?: object) => Promise<Body>;
+  /** Creates a client for another instance, with the same token and timeout. */
+  createForAddress: (address: string) => AdministrationClient;
 }
 
 /** @public */
 export interface AdministrationClientOptions {
-  /** `host:port` of the administration API of an instance. */
+  /** `host:port` of the instance's administration API. */
   address: string;
   token: string;
   timeoutMilliseconds?: number;
@@ -19,7 +19,7 @@
 
 const DEFAULT_TIMEOUT_MILLISECONDS = 5_000;
 
-interface RawAnswer {
+interface HttpResponse {
   status: number;
   text: string;
 }
@@ -27,7 +27,8 @@
 /**
  * Creates a client of the administration API.
  *
- * @throws ClientError from every call that does not end with a success.
+ * Its calls reject with a {@link ClientError} if the request fails or the status is 400 or above.
+ *
  * @public
  */
 export function createAdministrationClient(
@@ -35,27 +36,31 @@
 ): AdministrationClient {
   const { address, token, timeoutMilliseconds = DEFAULT_TIMEOUT_MILLISECONDS } = options;
 
-  async function call<Answer>(method: string, path: string, body?: object): Promise<Answer> {
-    const { status, text } = await exchange({ method, path, body });
-    const answer = parseAnswer(text, address);
-    if (status < 400) return answer as Answer;
-    throw ClientError.fromAnswer(answer, address);
+  async function callApi<Body>(method: string, path: string, body?: object): Promise<Body> {
+    const { status, text } = await sendHttpRequest({ method, path, body });
+    const parsedBody = parseJson(text, address);
+    if (status < 400) return parsedBody as Body;
+    throw ClientError.fromErrorResponse(parsedBody, address);
   }
 
-  function exchange(outgoing: { method: string; path: string; body?: object }): Promise<RawAnswer> {
-    const payload = outgoing.body === undefined ? undefined : JSON.stringify(outgoing.body);
+  function sendHttpRequest(httpRequest: {
+    method: string;
+    path: string;
+    body?: object;
+  }): Promise<HttpResponse> {
+    const payload = httpRequest.body === undefined ? undefined : JSON.stringify(httpRequest.body);
     const headers: Record<string, string> = { authorization: `Bearer ${token}` };
     if (payload !== undefined) headers['content-type'] = 'application/json';
     return new Promise((resolve, reject) => {
       const fail = (reason: string): void => {
         reject(new ClientError('unreachable', `${address}: ${reason}`));
       };
-      const url = parseAddress(address, outgoing.path);
+      const url = parseAddress(address, httpRequest.path);
       if (!url) {
         reject(new ClientError('usage', `--address: "${address}" is not host:port`));
         return;
       }
-      const request = sendRequest(url, { method: outgoing.method, headers }, (response) => {
+      const request = sendRequest(url, { method: httpRequest.method, headers }, (response) => {
         let text = '';
         response.setEncoding('utf8');
         response.on('data', (chunk: string) => {
@@ -73,9 +78,9 @@
   }
 
   return {
-    get: (path) => call('GET', path),
-    post: (path, body) => call('POST', path, body),
-    at: (other) => createAdministrationClient({ ...options, address: other }),
+    get: (path) => callApi('GET', path),
+    post: (path, body) => callApi('POST', path, body),
+    createForAddress: (other) => createAdministrationClient({ ...options, address: other }),
   };
 }
 
@@ -84,7 +89,7 @@
   return new URL(`http://${address}${path}`);
 }
 
-function parseAnswer(text: string, address: string): unknown {
+function parseJson(text: string, address: string): unknown {
   try {
     return JSON.parse(text);
   } catch {
--- a/packages/cli/src/lib/client/clientError.ts
+++ b/packages/cli/src/lib/client/clientError.ts
@@ -1,6 +1,6 @@
 import { z } from 'zod';
 
-/** Why a command failed. @public */
+/** Reason for the failure of a command. @public */
 export type ClientErrorCode =
   | 'usage'
   | 'settings'
@@ -12,7 +12,7 @@
   | 'notFound'
   | 'refused';
 
-/** Exit code of the process for each reason; documented in docs/OPERATIONS.md. @public */
+/** Process exit codes, documented in docs/OPERATIONS.md. @public */
 export const EXIT_CODES: Record<ClientErrorCode, number> = {
   usage: 2,
   settings: 3,
@@ -25,7 +25,7 @@
   refused: 10,
 };
 
-const errorAnswerSchema = z.object({
+const errorResponseSchema = z.object({
   error: z.looseObject({
     code: z.string(),
     message: z.string(),
@@ -33,11 +33,11 @@
   }),
 });
 
-/** An error of the command line: a code for scripts and a message for people. @public */
+/** A command failure, with a code for scripts and a message for users. @public */
 export class ClientError extends Error {
   readonly code: ClientErrorCode;
 
-  /** The error object of the administration API, where it sent one. */
+  /** The error object of the administration API, or an empty object. */
   readonly details: object;
 
   constructor(code: ClientErrorCode, message: string, details: object = {}) {
@@ -47,18 +47,18 @@
     this.details = details;
   }
 
-  /** Turns an error object of the administration API into an error of the command line. */
-  static fromAnswer(answer: unknown, address: string): ClientError {
-    const parsed = errorAnswerSchema.safeParse(answer);
+  /** Converts an error response of the administration API. */
+  static fromErrorResponse(response: unknown, address: string): ClientError {
+    const parsed = errorResponseSchema.safeParse(response);
     if (!parsed.success) return new ClientError('refused', `${address}: refused without a reason`);
     const { error } = parsed.data;
     const faults = error.faults?.map(({ path, reason }) => `\n  ${path}: ${reason}`).join('') ?? '';
-    return new ClientError(toClientCode(error.code), `${error.message}${faults}`, error);
+    return new ClientError(toClientErrorCode(error.code), `${error.message}${faults}`, error);
   }
 }
 
-/** Codes of the administration API that mean the same on the command line. */
-const CLIENT_CODES: Record<string, ClientErrorCode> = {
+/** Client error codes by error code of the administration API. */
+const CLIENT_ERROR_CODES: Record<string, ClientErrorCode> = {
   outdated: 'outdated',
   invalid: 'invalid',
   badRequest: 'invalid',
@@ -66,6 +66,6 @@
   notFound: 'notFound',
 };
 
-function toClientCode(code: string): ClientErrorCode {
-  return CLIENT_CODES[code] ?? 'refused';
+function toClientErrorCode(code: string): ClientErrorCode {
+  return CLIENT_ERROR_CODES[code] ?? 'refused';
 }
--- a/packages/cli/src/lib/commands/commandContext.ts
+++ b/packages/cli/src/lib/commands/commandContext.ts
@@ -4,7 +4,7 @@
 import type { AdministrationClient } from '../client/administrationClient';
 import { ClientError } from '../client/clientError';
 
-/** What the commands take from the process, so that tests can stand in for it. @public */
+/** Process functions used by commands, which tests can replace. @public */
 export interface CommandContext {
   write: (text: string) => void;
   environment: Record<string, string | undefined>;
@@ -13,18 +13,18 @@
   /** Milliseconds since the epoch. */
   now: () => number;
   createId: () => string;
-  /** Runs the proxy until it has stopped. */
+  /** Runs the proxy; resolves when it has stopped. */
   runProxy: (settings: Settings) => Promise<void>;
 }
 
-/** Options of every command that talks to an instance. @internal */
+/** Options of every command that sends requests to an instance. @internal */
 export interface ConnectionOptions {
   address?: string;
   token?: string;
   json?: boolean;
 }
 
-/** Adds the options that name an instance, and `--json`. @internal */
+/** Adds the options `--address`, `--token` and `--json`. @internal */
 export function addConnectionOptions(command: Command): Command {
   return command
     .option('--address <host:port>', 'administration API of any instance ($WISTERIALIFT_ADDRESS)')
@@ -33,12 +33,15 @@
 }
 
 /**
- * Creates a client from the options or the environment.
+ * Creates a client from the options, or from the environment where options are missing.
  *
- * @throws ClientError that names the option which is missing.
+ * @throws ClientError if neither provides the address or the token.
  * @internal
  */
-export function connect(context: CommandContext, options: ConnectionOptions): AdministrationClient {
+export function createClient(
+  context: CommandContext,
+  options: ConnectionOptions,
+): AdministrationClient {
   const { environment } = context;
   const address = options.address ?? environment.WISTERIALIFT_ADDRESS;
   const token = options.token ?? environment.WISTERIALIFT_TOKEN;
@@ -49,12 +52,12 @@
   return createAdministrationClient({ address, token });
 }
 
-/** Writes the answer as JSON where it was asked for, else as the text. @internal */
-export function writeAnswer(
+/** Writes the result as JSON if `--json` is set, otherwise as text. @internal */
+export function writeResult(
   context: CommandContext,
   options: ConnectionOptions,
-  answer: { value: object; text: () => string },
+  result: { value: object; text: () => string },
 ): void {
-  const text = options.json ? `${JSON.stringify(answer.value, null, 2)}\n` : answer.text();
+  const text = options.json ? `${JSON.stringify(result.value, null, 2)}\n` : result.text();
   context.write(text);
 }
--- a/packages/cli/src/lib/commands/configCommands.ts
+++ b/packages/cli/src/lib/commands/configCommands.ts
@@ -2,7 +2,7 @@
 import { Command, InvalidArgumentError } from 'commander';
 import { renderTable } from '@wisterialift/telemetry';
 import { ClientError } from '../client/clientError';
-import { addConnectionOptions, connect, writeAnswer } from './commandContext';
+import { addConnectionOptions, createClient, writeResult } from './commandContext';
 import type { CommandContext, ConnectionOptions } from './commandContext';
 
 interface NumberedConfiguration {
@@ -10,15 +10,15 @@
   configuration: Configuration;
 }
 
-interface PatchAnswer {
+interface PatchResponse {
   status: 'accepted' | 'unknown';
   patchId: string;
   number?: number;
 }
 
-type PatchFinding = { status: 'accepted'; patch: AcceptedPatch } | UnsettledFinding;
+type PatchOutcome = { status: 'accepted'; patch: AcceptedPatch } | UnacceptedOutcome;
 
-interface UnsettledFinding {
+interface UnacceptedOutcome {
   status: 'refused' | 'pending' | 'forgotten' | 'unknown';
   presentNumber?: number;
 }
@@ -47,8 +47,10 @@
 function createGetCommand(context: CommandContext): Command {
   const command = new Command('get').description('print the configuration in force and its number');
   return addConnectionOptions(command).action(async (options: ConnectionOptions) => {
-    const value = await connect(context, options).get<NumberedConfiguration>('/v1/configuration');
-    writeAnswer(context, options, {
+    const value = await createClient(context, options).get<NumberedConfiguration>(
+      '/v1/configuration',
+    );
+    writeResult(context, options, {
       value,
       text: () => `# number ${value.number}\n${JSON.stringify(value.configuration, null, 2)}\n`,
     });
@@ -59,7 +61,11 @@
   const command = new Command('patch')
     .description('submit a JSON merge patch (RFC 7396) against a numbered configuration')
     .requiredOption('--file <path>', 'file that holds the patch')
-    .requiredOption('--against <number>', 'number that the patch was made against', parseNumber)
+    .requiredOption(
+      '--against <number>',
+      'number that the patch was made against',
+      parseConfigurationNumber,
+    )
     .option('--id <id>', 'id of the patch; repeat it to ask again after an unknown outcome')
     .option('--author <name>', 'who submits it ($USER)');
   return addConnectionOptions(command).action(async (options: PatchOptions) => {
@@ -67,57 +73,57 @@
     const patchId = options.id ?? context.createId();
     const author = options.author ?? context.environment.USER ?? 'operator';
     const patch = { patchId, againstNumber: options.against, author, changes };
-    const client = connect(context, options);
-    const answer = await client.post<PatchAnswer>('/v1/configuration/patches', patch);
-    if (answer.status === 'unknown') throw createUnknownError(answer.patchId);
-    writeAnswer(context, options, {
-      value: answer,
-      text: () => `accepted as number ${answer.number} (patch ${answer.patchId})\n`,
+    const client = createClient(context, options);
+    const response = await client.post<PatchResponse>('/v1/configuration/patches', patch);
+    if (response.status === 'unknown') throw createUnknownOutcomeError(response.patchId);
+    writeResult(context, options, {
+      value: response,
+      text: () => `accepted as number ${response.number} (patch ${response.patchId})\n`,
     });
   });
 }
 
 function createFindCommand(context: CommandContext): Command {
   const command = new Command('find')
-    .description('tell whether a patch was accepted')
+    .description('show whether a patch was accepted')
     .argument('<id>', 'id of the patch')
     .option(
       '--against <number>',
-      'number that it was made against; lets a refusal be told',
-      parseNumber,
+      'number that the patch was made against; needed to detect a refusal',
+      parseConfigurationNumber,
     );
   return addConnectionOptions(command).action(async (id: string, options: FindOptions) => {
     const query = options.against === undefined ? '' : `?against=${options.against}`;
     const path = `/v1/configuration/patches/${encodeURIComponent(id)}${query}`;
-    const value = await connect(context, options).get<PatchFinding>(path);
-    if (value.status !== 'accepted') throw createFindingError(id, value);
+    const value = await createClient(context, options).get<PatchOutcome>(path);
+    if (value.status !== 'accepted') throw createOutcomeError(id, value);
     const { number, acceptedAt } = value.patch;
-    writeAnswer(context, options, {
+    writeResult(context, options, {
       value,
       text: () => `accepted as number ${number} at ${acceptedAt}\n`,
     });
   });
 }
 
-/** What is said of a patch that is not known to be accepted. */
-const FINDING_MESSAGES: Record<UnsettledFinding['status'], string> = {
-  refused: 'was refused: another patch took its number',
-  pending: 'is not accepted yet; submitting it again under the same id is safe',
-  forgotten: 'is too old to be told; the configuration has moved on',
-  unknown: 'cannot be told now: the platform does not answer; ask again',
+/** Error messages for patches that are not known to be accepted. */
+const OUTCOME_MESSAGES: Record<UnacceptedOutcome['status'], string> = {
+  refused: 'was refused: another patch was accepted under its number',
+  pending: 'is not accepted yet; it is safe to submit it again with the same id',
+  forgotten: 'has an unknown outcome: the history no longer goes back to its number',
+  unknown: 'has an unknown outcome: the platform does not respond; try again',
 };
 
-function createFindingError(id: string, finding: UnsettledFinding): ClientError {
-  const code = finding.status === 'refused' ? 'outdated' : 'unknown';
-  return new ClientError(code, `patch ${id} ${FINDING_MESSAGES[finding.status]}`, finding);
+function createOutcomeError(id: string, outcome: UnacceptedOutcome): ClientError {
+  const code = outcome.status === 'refused' ? 'outdated' : 'unknown';
+  return new ClientError(code, `patch ${id} ${OUTCOME_MESSAGES[outcome.status]}`, outcome);
 }
 
 function createHistoryCommand(context: CommandContext): Command {
   const command = new Command('history').description('list the accepted patches, newest last');
   return addConnectionOptions(command).action(async (options: ConnectionOptions) => {
-    const client = connect(context, options);
+    const client = createClient(context, options);
     const value = await client.get<{ patches: AcceptedPatch[] }>('/v1/configuration/history');
-    writeAnswer(context, options, { value, text: () => renderHistory(value.patches) });
+    writeResult(context, options, { value, text: () => renderHistory(value.patches) });
   });
 }
 
@@ -152,12 +158,12 @@
   }
 }
 
-function createUnknownError(patchId: string): ClientError {
+function createUnknownOutcomeError(patchId: string): ClientError {
   const message = `it is not known whether patch ${patchId} was accepted; ask again with "config find ${patchId}"`;
   return new ClientError('unknown', message, { status: 'unknown', patchId });
 }
 
-function parseNumber(text: string): number {
+function parseConfigurationNumber(text: string): number {
   if (/^\d+$/.test(text)) return Number(text);
   throw new InvalidArgumentError('a whole number from 0 is required.');
 }
--- a/packages/cli/src/lib/commands/explainCommand.ts
+++ b/packages/cli/src/lib/commands/explainCommand.ts
@@ -1,7 +1,7 @@
 import { explainRequest, readLogLines, renderExplanation } from '@wisterialift/telemetry';
 import { Command } from 'commander';
 import { ClientError } from '../client/clientError';
-import { writeAnswer } from './commandContext';
+import { writeResult } from './commandContext';
 import type { CommandContext } from './commandContext';
 
 interface ExplainOptions {
@@ -9,12 +9,12 @@
   json?: boolean;
 }
 
-/** `explain`: the way of a request through the logs of the instances. @internal */
+/** `explain`: shows the log lines of one request across instances. @internal */
 export function createExplainCommand(context: CommandContext): Command {
   return new Command('explain')
     .description("show a request's way through the instances' logs, and what they believed then")
-    .argument('<file...>', 'logs of the instances that may have seen it')
-    .requiredOption('--id <id>', 'identity of the request')
+    .argument('<file...>', 'log files of the instances that may have handled it')
+    .requiredOption('--id <id>', 'id of the request')
     .option('--json', 'print JSON for scripts')
     .action(async (files: string[], options: ExplainOptions) => {
       const texts = await Promise.all(files.map((file) => readLog(context, file)));
@@ -23,7 +23,7 @@
       if (!value) {
         throw new ClientError('usage', `no line of these logs names the request ${options.id}`);
       }
-      writeAnswer(context, options, { value, text: () => renderExplanation(value) });
+      writeResult(context, options, { value, text: () => renderExplanation(value) });
     });
 }
 
--- a/packages/cli/src/lib/commands/settingsCommands.ts
+++ b/packages/cli/src/lib/commands/settingsCommands.ts
@@ -9,7 +9,7 @@
 export function createSettingsCommand(context: CommandContext): Command {
   const command = new Command('settings').description('work with the settings of a process');
   const check = new Command('check')
-    .description('check a settings file and list every fault')
+    .description('check a settings file and list all errors')
     .argument('<file>', 'TOML file')
     .option('--json', 'print JSON for scripts');
   check.action(async (file: string, options: { json?: boolean }) => {
@@ -22,7 +22,7 @@
   return command;
 }
 
-/** `proxy`: the only command that keeps running. @internal */
+/** `proxy`: runs until the process is stopped. @internal */
 export function createProxyCommand(context: CommandContext): Command {
   return new Command('proxy')
     .description('run an instance of the proxy until it is told to stop')
@@ -32,7 +32,7 @@
     });
 }
 
-/** The settings are checked before anything opens a socket. */
+/** Validates the settings before any socket is opened. */
 async function runProxy(context: CommandContext, file: string): Promise<void> {
   const settings = await readSettings(context, file);
   try {
@@ -46,7 +46,7 @@
 /**
  * Reads and checks a settings file.
  *
- * @throws ClientError with the code `settings` that names file, key and reason of every fault.
+ * @throws ClientError with the code `settings` and the file, key and reason of every error.
  * @internal
  */
 export async function readSettings(context: CommandContext, file: string): Promise<Settings> {
--- a/packages/cli/src/lib/commands/statusCommands.ts
+++ b/packages/cli/src/lib/commands/statusCommands.ts
@@ -5,20 +5,23 @@
 import { Command } from 'commander';
 import { renderTable } from '@wisterialift/telemetry';
 import type { AdministrationClient } from '../client/administrationClient';
-import { askInstances } from './askInstances';
-import type { InstanceAnswer } from './askInstances';
-import { addConnectionOptions, connect, writeAnswer } from './commandContext';
+import { requestFromInstances } from './requestFromInstances';
+import type { InstanceResult } from './requestFromInstances';
+import { addConnectionOptions, createClient, writeResult } from './commandContext';
 import type { CommandContext, ConnectionOptions } from './commandContext';
 
-/** `status`: every instance with the configuration number in force there. @internal */
+/** `status`: shows all instances, with the number of their current configuration. @internal */
 export function createStatusCommand(context: CommandContext): Command {
   const command = new Command('status').description(
     'show each instance, its state and the configuration number in force there',
   );
   return addConnectionOptions(command).action(async (options: ConnectionOptions) => {
-    const answers = await askInstances<InstanceStatus>(connect(context, options), '/v1/status');
-    const value = { instances: answers };
-    writeAnswer(context, options, { value, text: () => renderStatus(answers) });
+    const results = await requestFromInstances<InstanceStatus>(
+      createClient(context, options),
+      '/v1/status',
+    );
+    const value = { instances: results };
+    writeResult(context, options, { value, text: () => renderStatus(results) });
   });
 }
 
@@ -27,17 +30,17 @@
   const command = new Command('group').description(
     'show the upstream groups as an instance sees them',
   );
-  const list = new Command('list').description('one line for each group');
+  const list = new Command('list').description('list the groups');
   addConnectionOptions(list).action(async (options: ConnectionOptions) => {
-    const client = connect(context, options);
+    const client = createClient(context, options);
     const value = await client.get<{ groups: GroupEngineView[] }>('/v1/groups');
-    writeAnswer(context, options, { value, text: () => renderGroups(value.groups) });
+    writeResult(context, options, { value, text: () => renderGroups(value.groups) });
   });
-  const show = new Command('show').description('the members of a group').argument('<group>');
+  const show = new Command('show').description('show the members of a group').argument('<group>');
   addConnectionOptions(show).action(async (name: string, options: ConnectionOptions) => {
-    const client = connect(context, options);
+    const client = createClient(context, options);
     const value = await client.get<GroupEngineView>(`/v1/groups/${encodeURIComponent(name)}`);
-    writeAnswer(context, options, { value, text: () => renderGroup(value) });
+    writeResult(context, options, { value, text: () => renderGroup(value) });
   });
   command.addCommand(list);
   command.addCommand(show);
@@ -48,19 +51,21 @@
 export function createInstanceCommand(context: CommandContext): Command {
   const command = new Command('instance').description('list instances and drain one');
   const list = new Command('list').description(
-    "the platform's lagging list, as an instance has it",
+    "list the instances known to the addressed instance; may lag behind the platform's list",
   );
   addConnectionOptions(list).action(async (options: ConnectionOptions) => {
-    const value = await listInstances(connect(context, options));
-    writeAnswer(context, options, { value, text: () => renderInstances(value.instances) });
+    const value = await listInstances(createClient(context, options));
+    writeResult(context, options, { value, text: () => renderInstances(value.instances) });
   });
   const drain = new Command('drain')
-    .description('mark an instance as leaving; it finishes what is in flight and stops')
+    .description('mark an instance as leaving; it completes requests in flight and stops')
     .argument('<instance>');
   addConnectionOptions(drain).action(async (name: string, options: ConnectionOptions) => {
     const path = `/v1/instances/${encodeURIComponent(name)}/drain`;
-    const value = await connect(context, options).post<{ instance: string; state: string }>(path);
-    writeAnswer(context, options, { value, text: () => `${value.instance} is ${value.state}\n` });
+    const value = await createClient(context, options).post<{ instance: string; state: string }>(
+      path,
+    );
+    writeResult(context, options, { value, text: () => `${value.instance} is ${value.state}\n` });
   });
   command.addCommand(list);
   command.addCommand(drain);
@@ -71,8 +76,8 @@
   return client.get<{ instances: Instance[] }>('/v1/instances');
 }
 
-function renderStatus(answers: readonly InstanceAnswer<InstanceStatus>[]): string {
-  const rows = answers.map(({ instance, answer, error }) => {
+function renderStatus(results: readonly InstanceResult<InstanceStatus>[]): string {
+  const rows = results.map(({ instance, answer, error }) => {
     if (!answer) return [instance, '-', 'not answering', '-', '-', error ?? ''];
     return [
       instance,
--- a/packages/cli/src/lib/createProgram.ts
+++ b/packages/cli/src/lib/createProgram.ts
@@ -13,7 +13,7 @@
 /** @public */
 export const VERSION = '0.1.0';
 
-/** Creates the command line with every command. @public */
+/** Creates the `wisterialift` program with all commands. @public */
 export function createProgram(context: CommandContext): Command {
   const program = new Command('wisterialift')
     .description('a database proxy with session consistency')
--- a/packages/cli/src/lib/runProgram.ts
+++ b/packages/cli/src/lib/runProgram.ts
@@ -4,12 +4,12 @@
 import type { CommandContext } from './commands/commandContext';
 import { createProgram } from './createProgram';
 
-/** Exit code of a failure that no {@link ClientError} describes. @public */
+/** Exit code of failures other than {@link ClientError}. @public */
 export const UNEXPECTED_EXIT_CODE = 1;
 
 /** @public */
-export interface ProgramRun {
-  /** The arguments behind the program's name. */
+export interface ProgramOptions {
+  /** Command-line arguments without the program name. */
   programArguments: readonly string[];
   context: CommandContext;
   writeError: (text: string) => void;
@@ -18,46 +18,46 @@
 /**
  * Runs one command.
  *
- * @returns the exit code; 0 where the command did what it was asked.
+ * @returns the exit code; 0 on success.
  * @public
  */
-export async function runProgram(run: ProgramRun): Promise<number> {
-  const { programArguments, context, writeError } = run;
+export async function runProgram(options: ProgramOptions): Promise<number> {
+  const { programArguments, context, writeError } = options;
   const program = createProgram(context);
-  prepare(program, context, writeError);
+  configureCommand(program, context, writeError);
   try {
     await program.parseAsync(programArguments, { from: 'user' });
     return 0;
   } catch (error) {
-    return describeFailure({ error, isJson: programArguments.includes('--json'), writeError });
+    return reportFailure({ error, isJson: programArguments.includes('--json'), writeError });
   }
 }
 
-/** Makes commander throw instead of ending the process, for each command below too. */
-function prepare(
+/** Makes commander throw instead of exiting the process, for all subcommands too. */
+function configureCommand(
   command: Command,
   context: CommandContext,
   writeError: (text: string) => void,
 ): void {
   command.exitOverride();
   command.configureOutput({ writeOut: context.write, writeErr: writeError });
-  command.commands.forEach((child) => prepare(child, context, writeError));
+  command.commands.forEach((subcommand) => configureCommand(subcommand, context, writeError));
 }
 
-function describeFailure(options: {
+function reportFailure(options: {
   error: unknown;
   isJson: boolean;
   writeError: (text: string) => void;
 }): number {
   const { error, isJson, writeError } = options;
   if (error instanceof CommanderError) {
-    // Commander has written its message already; help and version end with 0.
+    // Commander has already written its message; `--help` and `--version` have exit code 0.
     return error.exitCode === 0 ? 0 : EXIT_CODES.usage;
   }
   if (error instanceof ClientError) {
     const { code, message, details } = error;
-    const object = { error: { ...details, code, message } };
-    writeError(isJson ? `${JSON.stringify(object)}\n` : `wisterialift: ${message}\n`);
+    const errorObject = { error: { ...details, code, message } };
+    writeError(isJson ? `${JSON.stringify(errorObject)}\n` : `wisterialift: ${message}\n`);
     return EXIT_CODES[code];
   }
   writeError(`wisterialift: ${error instanceof Error ? error.message : String(error)}\n`);
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -3,7 +3,7 @@
 import { runProxyProcess } from '@wisterialift/proxy';
 import { runProgram } from './lib/runProgram';
 
-/** The entry of the executable: wires the commands to the process. */
+/** Entry point of the executable. */
 async function main(): Promise<void> {
   process.exitCode = await runProgram({
     programArguments: process.argv.slice(2),
--- a/packages/cli/src/test/program.test.ts
+++ b/packages/cli/src/test/program.test.ts
@@ -26,8 +26,8 @@
   files: Record<string, string>;
 }
 
-/** Runs one command with files that live in memory. */
-async function run(
+/** Runs one command with in-memory files. */
+async function runCommand(
   programArguments: string[],
   files: Record<string, string> = {},
 ): Promise<RunResult> {
@@ -60,7 +60,7 @@
   return result;
 }
 
-type Answers = Record<string, { status: number; body: object }>;
+type ResponsesByRequest = Record<string, { status: number; body: object }>;
 
 let closeServer: (() => void) | undefined;
 
@@ -69,92 +69,101 @@
   closeServer = undefined;
 });
 
-/** Serves fixed answers as an instance would, by method and path. */
-async function serveAnswers(createAnswers: (address: string) => Answers): Promise<string> {
-  let answers: Answers = {};
+/** Starts an administration API with fixed responses by method and path. */
+async function serveResponses(
+  createResponses: (address: string) => ResponsesByRequest,
+): Promise<string> {
+  let responses: ResponsesByRequest = {};
   const server = createServer((request, response) => {
-    const answer = answers[`${request.method} ${request.url}`];
-    response.writeHead(answer?.status ?? 404, { 'content-type': 'application/json' });
-    response.end(JSON.stringify(answer?.body ?? { error: { code: 'notFound', message: 'none' } }));
+    const configuredResponse = responses[`${request.method} ${request.url}`];
+    response.writeHead(configuredResponse?.status ?? 404, { 'content-type': 'application/json' });
+    response.end(
+      JSON.stringify(configuredResponse?.body ?? { error: { code: 'notFound', message: 'none' } }),
+    );
   });
   await new Promise<void>((resolve) => {
     server.listen(0, '127.0.0.1', resolve);
   });
   closeServer = () => server.close();
   const address = `127.0.0.1:${(server.address() as AddressInfo).port}`;
-  answers = createAnswers(address);
+  responses = createResponses(address);
   return address;
 }
 
-function instanceEntry(name: string, administrationAddress: string) {
-  const place = { dataCentre: 'cirebon', region: 'jawa-barat' };
-  return { name, ...place, peerAddress: '127.0.0.1:1', administrationAddress, state: 'live' };
+function createInstanceEntry(name: string, administrationAddress: string) {
+  const location = { dataCentre: 'cirebon', region: 'jawa-barat' };
+  return { name, ...location, peerAddress: '127.0.0.1:1', administrationAddress, state: 'live' };
 }
 
 describe('the command line', () => {
   it('describes each command', async () => {
-    expect((await run(['--help'])).output).toMatchSnapshot();
-    expect((await run(['config', 'patch', '--help'])).output).toMatchSnapshot();
+    expect((await runCommand(['--help'])).output).toMatchSnapshot();
+    expect((await runCommand(['config', 'patch', '--help'])).output).toMatchSnapshot();
   });
 
   it('refuses wrong arguments with exit code 2 and names them', async () => {
     const runs = [
-      await run(['config', 'patch', '--against', 'three', '--file', 'p.json']),
-      await run(['status']),
-      await run(['status', '--address', 'nowhere']),
-      await run(['config', 'patch', '--against', '3', '--file', 'p.json'], { 'p.json': '[1]' }),
-      await run(['promote']),
+      await runCommand(['config', 'patch', '--against', 'three', '--file', 'p.json']),
+      await runCommand(['status']),
+      await runCommand(['status', '--address', 'nowhere']),
+      await runCommand(['config', 'patch', '--against', '3', '--file', 'p.json'], {
+        'p.json': '[1]',
+      }),
+      await runCommand(['promote']),
     ];
     expect(runs.map(({ code, errors }) => ({ code, errors }))).toMatchSnapshot();
   });
 
-  it('checks settings and names file, key and reason of each fault', async () => {
+  it('checks settings and reports file, key and reason of each error', async () => {
     const files = { 'good.toml': SETTINGS, 'bad.toml': `${SETTINGS}\n[limits]\nqueue = 3` };
-    const good = await run(['settings', 'check', 'good.toml'], files);
+    const good = await runCommand(['settings', 'check', 'good.toml'], files);
     expect([good.code, good.output]).toEqual([
       0,
       'good.toml: correct; instance entry-1 in data centre cirebon\n',
     ]);
-    const bad = await run(['settings', 'check', 'bad.toml'], files);
+    const bad = await runCommand(['settings', 'check', 'bad.toml'], files);
     expect([bad.code, bad.errors]).toEqual([
       3,
       'wisterialift: bad.toml: limits.queue: unknown key\n',
     ]);
-    const missing = await run(['proxy', '--settings', 'none.toml'], files);
+    const missing = await runCommand(['proxy', '--settings', 'none.toml'], files);
     expect([missing.code, missing.output]).toEqual([3, '']);
   });
 
-  it('tells a refused patch apart from an unknown one', async () => {
+  it('distinguishes a refused patch from one with an unknown outcome', async () => {
     const files = { 'p.json': '{"kinds":{}}' };
     const patch = ['config', 'patch', '--against', '3', '--file', 'p.json', '--json'];
-    const outdated = await serveAnswers(() => ({
+    const outdated = await serveResponses(() => ({
       'POST /v1/configuration/patches': {
         status: 409,
         body: { error: { code: 'outdated', message: 'moved on to number 4', presentNumber: 4 } },
       },
     }));
-    const refused = await run([...patch, '--address', outdated], files);
+    const refused = await runCommand([...patch, '--address', outdated], files);
     expect([refused.code, JSON.parse(refused.errors)]).toEqual([
       4,
       { error: { code: 'outdated', message: 'moved on to number 4', presentNumber: 4 } },
     ]);
     closeServer?.();
-    const silent = await serveAnswers(() => ({
+    const silent = await serveResponses(() => ({
       'POST /v1/configuration/patches': {
         status: 202,
         body: { status: 'unknown', patchId: 'patch-1' },
       },
     }));
-    const unknown = await run([...patch, '--address', silent], files);
+    const unknown = await runCommand([...patch, '--address', silent], files);
     expect([unknown.code, unknown.errors]).toEqual([6, expect.stringContaining('config find')]);
   });
 
   it('shows an instance that does not answer beside those that do', async () => {
-    const address = await serveAnswers((own) => ({
+    const address = await serveResponses((own) => ({
       'GET /v1/instances': {
         status: 200,
         body: {
-          instances: [instanceEntry('entry-1', own), instanceEntry('entry-2', '127.0.0.1:1')],
+          instances: [
+            createInstanceEntry('entry-1', own),
+            createInstanceEntry('entry-2', '127.0.0.1:1'),
+          ],
         },
       },
       'GET /v1/status': {
@@ -168,7 +177,7 @@
         },
       },
     }));
-    const { code, output } = await run(['status', '--address', address]);
+    const { code, output } = await runCommand(['status', '--address', address]);
     expect([code, output]).toMatchSnapshot();
   });
 });
@@ -184,8 +193,8 @@
     time: '2026-05-08T10:00:08.500Z',
   });
 
-  it('shows what the logs tell of a request', async () => {
-    const { code, output } = await run(['explain', '--id', 'r1', 'front-1.log'], {
+  it('shows the log lines of a request', async () => {
+    const { code, output } = await runCommand(['explain', '--id', 'r1', 'front-1.log'], {
       'front-1.log': log,
     });
     expect(code).toBe(0);
@@ -193,12 +202,12 @@
     expect(output).toContain('+800 ms');
   });
 
-  it('says so where no log names the request, or a log is not there', async () => {
+  it('reports an unknown request id and a missing log file', async () => {
     const files = { 'front-1.log': log };
-    const unknown = await run(['explain', '--id', 'r9', 'front-1.log'], files);
+    const unknown = await runCommand(['explain', '--id', 'r9', 'front-1.log'], files);
     expect(unknown).toMatchObject({ code: 2, output: '' });
     expect(unknown.errors).toContain('no line of these logs names the request r9');
-    const missing = await run(['explain', '--id', 'r1', 'front-2.log'], files);
+    const missing = await runCommand(['explain', '--id', 'r1', 'front-2.log'], files);
     expect(missing.errors).toContain('front-2.log');
   });
 });
