--- a/packages/cli/src/lib/client/administrationClient.ts
+++ b/packages/cli/src/lib/client/administrationClient.ts
@@ -1,7 +1,11 @@
 import { request as sendRequest } from 'node:http';
 import { ClientError } from './clientError';
 
-/** Client of one instance's administration API; responses are not validated. @public */
+/**
+ * Client of one instance's administration API; bodies of successful responses are not validated.
+ *
+ * @public
+ */
 export interface AdministrationClient {
   get: <Body>(path: string) => Promise<Body>;
   post: <Body>(path: string, body?: object) => Promise<Body>;
@@ -14,6 +18,7 @@
   /** `host:port` of the instance's administration API. */
   address: string;
   token: string;
+  /** Time without activity on the connected socket before a request fails; 5 000 by default. */
   timeoutMilliseconds?: number;
 }
 
@@ -27,7 +32,8 @@
 /**
  * Creates a client of the administration API.
  *
- * Its calls reject with a {@link ClientError} if the request fails or the status is 400 or above.
+ * Its calls reject with a {@link ClientError} if the address does not have the form `host:port`,
+ * the request fails, the body is not JSON, or the status is 400 or above.
  *
  * @public
  */
@@ -55,7 +61,7 @@
       const fail = (reason: string): void => {
         reject(new ClientError('unreachable', `${address}: ${reason}`));
       };
-      const url = parseAddress(address, httpRequest.path);
+      const url = createRequestUrl(address, httpRequest.path);
       if (!url) {
         reject(new ClientError('usage', `--address: "${address}" is not host:port`));
         return;
@@ -84,7 +90,8 @@
   };
 }
 
-function parseAddress(address: string, path: string): URL | undefined {
+/** Returns undefined if the address does not have the form `host:port`. */
+function createRequestUrl(address: string, path: string): URL | undefined {
   if (!/^[^/\s]+:\d{1,5}$/.test(address)) return undefined;
   return new URL(`http://${address}${path}`);
 }
--- a/packages/cli/src/lib/client/clientError.ts
+++ b/packages/cli/src/lib/client/clientError.ts
@@ -37,7 +37,10 @@
 export class ClientError extends Error {
   readonly code: ClientErrorCode;
 
-  /** The error object of the administration API, or an empty object. */
+  /**
+   * Fields added to the error in the JSON output, such as the error object of the administration
+   * API; empty if there are none.
+   */
   readonly details: object;
 
   constructor(code: ClientErrorCode, message: string, details: object = {}) {
--- a/packages/cli/src/lib/commands/configCommands.ts
+++ b/packages/cli/src/lib/commands/configCommands.ts
@@ -107,9 +107,9 @@
 
 /** Error messages for patches that are not known to be accepted. */
 const OUTCOME_MESSAGES: Record<UnacceptedOutcome['status'], string> = {
-  refused: 'was refused: another patch was accepted under its number',
+  refused: 'was refused: another patch was accepted first against the same number',
   pending: 'is not accepted yet; it is safe to submit it again with the same id',
-  forgotten: 'has an unknown outcome: the history no longer goes back to its number',
+  forgotten: 'has an unknown outcome: the history no longer contains its number',
   unknown: 'has an unknown outcome: the platform does not respond; try again',
 };
 
--- a/packages/cli/src/lib/commands/requestFromInstances.ts
+++ b/packages/cli/src/lib/commands/requestFromInstances.ts
@@ -11,9 +11,10 @@
 const MAXIMUM_PARALLEL_REQUESTS = 32;
 
 /**
- * Sends a request to every instance in the client's instance list.
+ * Sends a GET request to every instance known to the addressed instance.
  *
- * Instances that fail to respond are included in the result, with their error.
+ * Instances whose request fails are included in the result, with their error. Rejects if the list
+ * of instances cannot be read.
  *
  * @internal
  */
--- a/packages/cli/src/lib/runProgram.ts
+++ b/packages/cli/src/lib/runProgram.ts
@@ -4,7 +4,7 @@
 import type { CommandContext } from './commands/commandContext';
 import { createProgram } from './createProgram';
 
-/** Exit code of failures other than {@link ClientError}. @public */
+/** Exit code of failures other than a {@link ClientError} and errors in the arguments. @public */
 export const UNEXPECTED_EXIT_CODE = 1;
 
 /** @public */
@@ -33,7 +33,10 @@
   }
 }
 
-/** Makes commander throw instead of exiting the process, for all subcommands too. */
+/**
+ * Makes a command and its subcommands throw instead of exiting the process, and redirects their
+ * output.
+ */
 function configureCommand(
   command: Command,
   context: CommandContext,
--- a/packages/cli/src/test/program.test.ts
+++ b/packages/cli/src/test/program.test.ts
@@ -133,35 +133,35 @@
   it('distinguishes a refused patch from one with an unknown outcome', async () => {
     const files = { 'p.json': '{"kinds":{}}' };
     const patch = ['config', 'patch', '--against', '3', '--file', 'p.json', '--json'];
-    const outdated = await serveResponses(() => ({
+    const refusingAddress = await serveResponses(() => ({
       'POST /v1/configuration/patches': {
         status: 409,
         body: { error: { code: 'outdated', message: 'moved on to number 4', presentNumber: 4 } },
       },
     }));
-    const refused = await runCommand([...patch, '--address', outdated], files);
+    const refused = await runCommand([...patch, '--address', refusingAddress], files);
     expect([refused.code, JSON.parse(refused.errors)]).toEqual([
       4,
       { error: { code: 'outdated', message: 'moved on to number 4', presentNumber: 4 } },
     ]);
     closeServer?.();
-    const silent = await serveResponses(() => ({
+    const unknownOutcomeAddress = await serveResponses(() => ({
       'POST /v1/configuration/patches': {
         status: 202,
         body: { status: 'unknown', patchId: 'patch-1' },
       },
     }));
-    const unknown = await runCommand([...patch, '--address', silent], files);
+    const unknown = await runCommand([...patch, '--address', unknownOutcomeAddress], files);
     expect([unknown.code, unknown.errors]).toEqual([6, expect.stringContaining('config find')]);
   });
 
   it('shows an instance that does not answer beside those that do', async () => {
-    const address = await serveResponses((own) => ({
+    const address = await serveResponses((ownAddress) => ({
       'GET /v1/instances': {
         status: 200,
         body: {
           instances: [
-            createInstanceEntry('entry-1', own),
+            createInstanceEntry('entry-1', ownAddress),
             createInstanceEntry('entry-2', '127.0.0.1:1'),
           ],
         },
