--- a/packages/mysql/src/lib/caller/callerConnection.ts
+++ b/packages/mysql/src/lib/caller/callerConnection.ts
@@ -22,8 +22,12 @@
   writeFrames: (frames: Buffer[]) => void;
   /** Sends the last part of the response and dispatches the next command. */
   finish: (frames: Buffer[]) => void;
-  /** @param sequence - sequence number of the packet within the response. */
-  finishOk: (answer: OkResponse, sequence?: number) => void;
+  /**
+   * Finishes the response with an OK packet.
+   *
+   * @param sequence - sequence number of the packet within the response; 1 by default.
+   */
+  finishOk: (response: OkResponse, sequence?: number) => void;
   finishError: (error: SqlError, sequence?: number) => void;
   finishResult: (result: TextResult, status?: number) => void;
   /** Closes the connection after sending pending data and the error, if any. */
@@ -68,7 +72,7 @@
 /** Frames up to this total size are concatenated, since a copy costs less than a write call. */
 const MAXIMUM_JOINED_BYTES = 16_384;
 
-/** Time between the end of the connection and its forced close, in milliseconds. */
+/** Time for which received data is discarded after the last write; then the socket is destroyed. */
 const LINGER_MILLISECONDS = 1_000;
 
 /**
--- a/packages/mysql/src/lib/caller/callerListener.ts
+++ b/packages/mysql/src/lib/caller/callerListener.ts
@@ -59,7 +59,8 @@
 const SCRAMBLE_BYTES = 20;
 
 /**
- * Capabilities used towards callers and databases alike, so that packets are forwarded unchanged.
+ * Capabilities offered to callers; together with DRIVER_FLAGS of the upstream connection, they keep
+ * the packet format the same on both sides.
  *
  * DEPRECATE_EOF is excluded so that result sets have the same format on both sides. Compression,
  * LOCAL INFILE, multiple statements and query attributes are not supported.
@@ -77,15 +78,15 @@
  */
 export function createCallerListener(options: CallerListenerOptions): CallerListener {
   let lastConnectionId = 0;
-  let tlsKeys = options.tls && createTlsContext(options.tls);
+  let tlsContext = options.tls && createTlsContext(options.tls);
   const server = createTcpServer({ noDelay: true }, (socket) => {
     lastConnectionId += 1;
-    acceptConnection({ socket, id: lastConnectionId, tlsKeys, options });
+    acceptConnection({ socket, id: lastConnectionId, tlsContext, options });
   });
   return {
     listen: () => listen(server, options),
     useTls: (tls) => {
-      tlsKeys = createTlsContext(tls);
+      tlsContext = createTlsContext(tls);
     },
     stopAccepting: () => {
       server.close();
@@ -113,11 +114,11 @@
 interface AcceptedConnection {
   socket: Socket;
   id: number;
-  tlsKeys: TlsContext | undefined;
+  tlsContext: TlsContext | undefined;
   options: CallerListenerOptions;
 }
 
-function acceptConnection({ socket, id, tlsKeys, options }: AcceptedConnection): void {
+function acceptConnection({ socket, id, tlsContext, options }: AcceptedConnection): void {
   const driverOptions: ConnectionOptions = {
     stream: socket,
     isServer: true,
@@ -134,7 +135,7 @@
 
   let packetLimitBytes = MAXIMUM_LOGIN_BYTES;
   limitPacketSize(driver, () => packetLimitBytes);
-  if (tlsKeys) enableTlsUpgrade(driver, tlsKeys);
+  if (tlsContext) enableTlsUpgrade(driver, tlsContext);
   closeOnSequenceMismatch(driver);
 
   driver.serverHandshake({
@@ -143,7 +144,7 @@
     connectionId: id,
     statusFlags: serverStatus.autocommit,
     characterSet: UTF8MB4_COLLATION,
-    capabilityFlags: CAPABILITIES + (tlsKeys ? capability.tls : 0),
+    capabilityFlags: CAPABILITIES + (tlsContext ? capability.tls : 0),
     authCallback: (driverLogin) => {
       clearTimeout(loginTimer);
       const login = toLogin(driverLogin);
@@ -162,21 +163,21 @@
 }
 
 /** Closes the connection if a header announces too large a packet, before it is buffered. */
-function limitPacketSize(driver: DriverConnection, maximumBytes: () => number): void {
-  const limiter = createPacketSizeLimiter(maximumBytes);
+function limitPacketSize(driver: DriverConnection, getMaximumBytes: () => number): void {
+  const limiter = createPacketSizeLimiter(getMaximumBytes);
   const { packetParser } = driver;
   const execute = (chunk: Buffer): void => {
     if (limiter.isWithinLimit(chunk)) {
       packetParser.execute(chunk);
       return;
     }
-    const message = `Got a packet bigger than ${maximumBytes()} bytes`;
+    const message = `Got a packet bigger than ${getMaximumBytes()} bytes`;
     closeGracefully(driver, { code: 1153, state: '08S01', message }, 1);
   };
   Object.assign(driver, { packetParser: { execute } });
 }
 
-/** Closes the connection on a packet out of order; the driver would only log a warning. */
+/** Closes the connection on a packet out of order during login; the driver would only warn. */
 function closeOnSequenceMismatch(driver: DriverConnection): void {
   const forwardPacket = driver.handlePacket.bind(driver);
   const handlePacket = (packet?: DriverPacket): void => {
--- a/packages/mysql/src/lib/caller/packetSizeLimiter.ts
+++ b/packages/mysql/src/lib/caller/packetSizeLimiter.ts
@@ -2,7 +2,11 @@
 
 /** Checks the packet sizes in a byte stream without buffering packets. @internal */
 export interface PacketSizeLimiter {
-  /** @returns false if a frame header in the chunk announces a packet above the limit. */
+  /**
+   * Processes the next chunk of the stream.
+   *
+   * @returns false if a frame header in the chunk announces a packet above the limit.
+   */
   isWithinLimit: (chunk: Buffer) => boolean;
 }
 
@@ -12,28 +16,29 @@
  * The driver buffers a packet until it is complete, so a large one would take its whole size in
  * memory. The limiter checks each frame header before the payload is buffered.
  *
- * @param maximumBytes - largest payload in bytes, summed over the frames of a packet.
+ * @param getMaximumBytes - returns the largest payload in bytes, summed over the frames of a
+ * packet; the limit changes after login.
  * @internal
  */
-export function createPacketSizeLimiter(maximumBytes: () => number): PacketSizeLimiter {
-  let headerBytes = 0;
-  let frameBytes = 0;
+export function createPacketSizeLimiter(getMaximumBytes: () => number): PacketSizeLimiter {
+  let headerBytesRead = 0;
+  let framePayloadBytes = 0;
   let remainingPayloadBytes = 0;
-  let packetBytes = 0;
+  let packetPayloadBytes = 0;
 
   const startFrame = (): boolean => {
-    packetBytes += frameBytes;
-    remainingPayloadBytes = frameBytes;
-    const isAccepted = packetBytes <= maximumBytes();
-    if (frameBytes < MAXIMUM_FRAME_PAYLOAD_BYTES) packetBytes = 0;
-    headerBytes = 0;
-    frameBytes = 0;
+    packetPayloadBytes += framePayloadBytes;
+    remainingPayloadBytes = framePayloadBytes;
+    const isAccepted = packetPayloadBytes <= getMaximumBytes();
+    if (framePayloadBytes < MAXIMUM_FRAME_PAYLOAD_BYTES) packetPayloadBytes = 0;
+    headerBytesRead = 0;
+    framePayloadBytes = 0;
     return isAccepted;
   };
 
   const readHeaderByte = (byte: number): void => {
-    if (headerBytes < 3) frameBytes += byte * 256 ** headerBytes;
-    headerBytes += 1;
+    if (headerBytesRead < 3) framePayloadBytes += byte * 256 ** headerBytesRead;
+    headerBytesRead += 1;
   };
 
   return {
@@ -46,7 +51,7 @@
         if (offset < chunk.length) {
           readHeaderByte(chunk[offset] ?? 0);
           offset += 1;
-          if (headerBytes === HEADER_BYTES && !startFrame()) return false;
+          if (headerBytesRead === HEADER_BYTES && !startFrame()) return false;
         }
       }
       return true;
--- a/packages/mysql/src/lib/caller/passwordCheck.ts
+++ b/packages/mysql/src/lib/caller/passwordCheck.ts
@@ -24,8 +24,8 @@
   // Clients send an empty response for an empty password.
   if (response.length === 0) return timingSafeEqual(storedHash, sha1(sha1(Buffer.alloc(0))));
   if (response.length !== HASH_BYTES) return false;
-  const passwordHashOnce = xor(response, sha1(Buffer.concat([scramble, storedHash])));
-  return timingSafeEqual(storedHash, sha1(passwordHashOnce));
+  const passwordSha1 = xor(response, sha1(Buffer.concat([scramble, storedHash])));
+  return timingSafeEqual(storedHash, sha1(passwordSha1));
 }
 
 function sha1(data: Buffer): Buffer {
--- a/packages/mysql/src/lib/caller/tlsUpgrade.ts
+++ b/packages/mysql/src/lib/caller/tlsUpgrade.ts
@@ -29,14 +29,15 @@
 }
 
 /** An SSL request is a login packet that ends before the user name. */
-const TLS_REQUEST_PAYLOAD_BYTES = 32;
-const TLS_REQUEST_BYTES = HEADER_BYTES + TLS_REQUEST_PAYLOAD_BYTES;
+const SSL_REQUEST_PAYLOAD_BYTES = 32;
+const SSL_REQUEST_BYTES = HEADER_BYTES + SSL_REQUEST_PAYLOAD_BYTES;
 
 /**
  * Allows a connection to be upgraded to TLS before login.
  *
- * A client may send the TLS handshake right after the SSL request. The driver would parse those bytes
- * as packets, so data is buffered until the first packet is known to be a login.
+ * A caller may send the TLS handshake right after the SSL request. The driver would parse those
+ * bytes as packets, so data is buffered until the first packet is identified as a login or an SSL
+ * request.
  *
  * @internal
  */
@@ -47,7 +48,7 @@
   const upgrade = (): void => {
     stream.removeAllListeners('data');
     stream.pause();
-    if (received.length > TLS_REQUEST_BYTES) stream.unshift(received.subarray(TLS_REQUEST_BYTES));
+    if (received.length > SSL_REQUEST_BYTES) stream.unshift(received.subarray(SSL_REQUEST_BYTES));
     const socket = new TLSSocket(stream, {
       isServer: true,
       secureContext: tlsContext.context,
@@ -62,8 +63,8 @@
 
   const execute = (chunk: Buffer): void => {
     received = Buffer.concat([received, chunk]);
-    if (received.length < TLS_REQUEST_BYTES && !isLoginHeader(received)) return;
-    if (isTlsRequest(received)) {
+    if (received.length < SSL_REQUEST_BYTES && !isLoginHeader(received)) return;
+    if (isSslRequest(received)) {
       upgrade();
       return;
     }
@@ -73,15 +74,15 @@
   Object.assign(driver, { packetParser: { execute } });
 }
 
-/** Whether the header has the length of a login and not of an SSL request. */
+/** Whether the header is complete and its length differs from that of an SSL request. */
 function isLoginHeader(received: Buffer): boolean {
-  return received.length >= HEADER_BYTES && received.readUIntLE(0, 3) !== TLS_REQUEST_PAYLOAD_BYTES;
+  return received.length >= HEADER_BYTES && received.readUIntLE(0, 3) !== SSL_REQUEST_PAYLOAD_BYTES;
 }
 
-function isTlsRequest(received: Buffer): boolean {
+function isSslRequest(received: Buffer): boolean {
   if (
-    received.length < TLS_REQUEST_BYTES ||
-    received.readUIntLE(0, 3) !== TLS_REQUEST_PAYLOAD_BYTES
+    received.length < SSL_REQUEST_BYTES ||
+    received.readUIntLE(0, 3) !== SSL_REQUEST_PAYLOAD_BYTES
   ) {
     return false;
   }
--- a/packages/mysql/src/lib/control/groupControlConnection.ts
+++ b/packages/mysql/src/lib/control/groupControlConnection.ts
@@ -24,27 +24,31 @@
 /** @public */
 export interface GroupControlConnectionOptions {
   address: UpstreamAddress;
-  /** Time limit for a request, including the time to connect. */
+  /**
+   * Time limit for a request, including the time in the queue and to connect; when it expires, all
+   * outstanding requests fail.
+   */
   timeoutMilliseconds: number;
 }
 
 /** Sends requests to one member; connects on demand, and again after a failure. @public */
 export interface GroupControlConnection {
-  ask: (request: ControlQuestion, onAnswer: (answer: ControlResponse) => void) => void;
+  ask: (request: ControlQuestion, onResponse: (response: ControlResponse) => void) => void;
+  /** Closes the connection and fails outstanding requests with `unreachable`. */
   close: () => void;
 }
 
 interface PendingRequest {
   payload: Buffer;
   timer: NodeJS.Timeout;
-  onAnswer: (answer: ControlResponse) => void;
+  onResponse: (response: ControlResponse) => void;
 }
 
-type SqlByType = {
+type SqlBuildersByType = {
   [Type in ControlQuestion['type']]: (request: Extract<ControlQuestion, { type: Type }>) => string;
 };
 
-const sqlByType: SqlByType = {
+const sqlBuildersByType: SqlBuildersByType = {
   askStatus: () => 'SHOW GROUP STATUS',
   fence: ({ term }) => `GROUP FENCE TERM ${term}`,
   promote: ({ term }) => `GROUP PROMOTE TERM ${term}`,
@@ -84,7 +88,10 @@
     if (connection === ended) failAll('unreachable');
   }
 
-  /** Closes the connection as well, since a late response could be matched to a later request. */
+  /**
+   * Fails all outstanding requests and closes the connection, since a late response could be
+   * matched to a later request.
+   */
   function failAll(reason: QuestionFailure): void {
     const failed = pending ? [pending, ...queue] : queue;
     const discarded = connection;
@@ -95,9 +102,9 @@
     failed.forEach((request) => complete(request, { type: 'failed', reason }));
   }
 
-  function complete({ timer, onAnswer }: PendingRequest, answer: ControlResponse): void {
+  function complete({ timer, onResponse }: PendingRequest, response: ControlResponse): void {
     clearTimeout(timer);
-    onAnswer(answer);
+    onResponse(response);
   }
 
   function sendNext(): void {
@@ -110,16 +117,21 @@
       { type: 'query', payload: request.payload },
       {
         onFrames: (part) => frames.push(...part),
-        onAnswered: (answer) => onAnswered(request, [...frames, ...answer.frames], answer),
+        onAnswered: (response) =>
+          handleResponse(request, [...frames, ...response.frames], response),
         onLost: () => {},
       },
     );
   }
 
-  function onAnswered(request: PendingRequest, frames: Buffer[], answer: CompletedAnswer): void {
+  function handleResponse(
+    request: PendingRequest,
+    frames: Buffer[],
+    response: CompletedAnswer,
+  ): void {
     if (pending !== request) return;
     pending = undefined;
-    complete(request, toControlResponse(frames, answer));
+    complete(request, toControlResponse(frames, response));
     sendNext();
   }
 
@@ -132,9 +144,9 @@
   }
 
   return {
-    ask: (request, onAnswer) => {
+    ask: (request, onResponse) => {
       const timer = setTimeout(() => failAll('timeout'), timeoutMilliseconds);
-      queue.push({ payload: encodeRequest(request), timer, onAnswer });
+      queue.push({ payload: encodeRequest(request), timer, onResponse });
       if (!connection) open();
       sendNext();
     },
@@ -142,11 +154,11 @@
   };
 }
 
-const STATUS_PAYLOAD = encodeQuery(sqlByType.askStatus({ type: 'askStatus' }));
+const STATUS_REQUEST_PAYLOAD = encodeQuery(sqlBuildersByType.askStatus({ type: 'askStatus' }));
 
 function encodeRequest(request: ControlQuestion): Buffer {
-  if (request.type === 'askStatus') return STATUS_PAYLOAD;
-  const toSql = sqlByType[request.type] as (request: ControlQuestion) => string;
+  if (request.type === 'askStatus') return STATUS_REQUEST_PAYLOAD;
+  const toSql = sqlBuildersByType[request.type] as (request: ControlQuestion) => string;
   return encodeQuery(toSql(request));
 }
 
--- a/packages/mysql/src/lib/protocol/constants.ts
+++ b/packages/mysql/src/lib/protocol/constants.ts
@@ -43,7 +43,7 @@
 export const marker = { ok: 0x00, localFile: 0xfb, eof: 0xfe, error: 0xff } as const;
 
 /** Kinds of session-track entries. @internal */
-export const sessionTrack = { systemVariable: 0, gtids: 3 } as const;
+export const sessionTrackType = { systemVariable: 0, gtids: 3 } as const;
 
 /** Column types of the protocol. @internal */
 export const columnType = { variableString: 0xfd } as const;
--- a/packages/mysql/src/lib/protocol/errorPacket.ts
+++ b/packages/mysql/src/lib/protocol/errorPacket.ts
@@ -13,7 +13,12 @@
 const MESSAGE_OFFSET = 9;
 const GENERAL_SQL_STATE = 'HY000';
 
-/** Parses the payload of an ERR packet. @internal */
+/**
+ * Parses the payload of an ERR packet.
+ *
+ * @throws RangeError if the error code is truncated.
+ * @internal
+ */
 export function parseError(payload: Buffer): SqlError {
   const code = payload.readUInt16LE(1);
   const hasState = payload.toString('latin1', 3, SQL_STATE_OFFSET) === SQL_STATE_MARKER;
--- a/packages/mysql/src/lib/protocol/frames.ts
+++ b/packages/mysql/src/lib/protocol/frames.ts
@@ -9,7 +9,7 @@
  * @public
  */
 export function toFrames(payload: Buffer, sequence: number): Buffer {
-  if (payload.length < MAXIMUM_FRAME_PAYLOAD_BYTES) return toFrame(payload, sequence);
+  if (payload.length < MAXIMUM_FRAME_PAYLOAD_BYTES) return encodeFrame(payload, sequence);
   const frames: Buffer[] = [];
   let offset = 0;
   for (
@@ -18,17 +18,17 @@
     offset += MAXIMUM_FRAME_PAYLOAD_BYTES
   ) {
     frames.push(
-      toFrame(
+      encodeFrame(
         payload.subarray(offset, offset + MAXIMUM_FRAME_PAYLOAD_BYTES),
         sequence + frames.length,
       ),
     );
   }
-  frames.push(toFrame(payload.subarray(offset), sequence + frames.length));
+  frames.push(encodeFrame(payload.subarray(offset), sequence + frames.length));
   return Buffer.concat(frames);
 }
 
-function toFrame(payload: Buffer, sequence: number): Buffer {
+function encodeFrame(payload: Buffer, sequence: number): Buffer {
   const frame = Buffer.allocUnsafe(HEADER_BYTES + payload.length);
   frame.writeUIntLE(payload.length, 0, 3);
   frame.writeUInt8(sequence % SEQUENCE_NUMBER_COUNT, 3);
--- a/packages/mysql/src/lib/protocol/lengthEncoded.ts
+++ b/packages/mysql/src/lib/protocol/lengthEncoded.ts
@@ -3,7 +3,7 @@
 const EIGHT_BYTE_PREFIX = 0xfe;
 
 /** Returns the size in bytes of the length-encoded integer at `offset`. @internal */
-export function getLengthEncodedSize(buffer: Buffer, offset: number): number {
+export function getLengthEncodedIntegerSize(buffer: Buffer, offset: number): number {
   const sizes: Record<number, number> = {
     [TWO_BYTE_PREFIX]: 3,
     [THREE_BYTE_PREFIX]: 4,
@@ -13,7 +13,7 @@
 }
 
 /** Reads the length-encoded integer at `offset`; inexact above 2^53. @internal */
-export function readLengthEncoded(buffer: Buffer, offset: number): number {
+export function readLengthEncodedInteger(buffer: Buffer, offset: number): number {
   const first = buffer.readUInt8(offset);
   if (first === TWO_BYTE_PREFIX) return buffer.readUInt16LE(offset + 1);
   if (first === THREE_BYTE_PREFIX) return buffer.readUIntLE(offset + 1, 3);
@@ -22,7 +22,7 @@
 }
 
 /** Encodes an integer below 2^24 as a length-encoded integer. @internal */
-export function encodeLength(value: number): Buffer {
+export function encodeLengthEncodedInteger(value: number): Buffer {
   if (value < 0xfb) return Buffer.from([value]);
   if (value < 0x1_0000) return Buffer.from([TWO_BYTE_PREFIX, value % 256, Math.floor(value / 256)]);
   const buffer = Buffer.from([THREE_BYTE_PREFIX, 0, 0, 0]);
@@ -30,8 +30,8 @@
   return buffer;
 }
 
-/** Encodes bytes or text as a length-encoded string. @internal */
+/** Encodes bytes or text of less than 2^24 bytes as a length-encoded string. @internal */
 export function encodeWithLength(value: Buffer | string): Buffer {
   const bytes = typeof value === 'string' ? Buffer.from(value) : value;
-  return Buffer.concat([encodeLength(bytes.length), bytes]);
+  return Buffer.concat([encodeLengthEncodedInteger(bytes.length), bytes]);
 }
--- a/packages/mysql/src/lib/protocol/okPacket.ts
+++ b/packages/mysql/src/lib/protocol/okPacket.ts
@@ -1,5 +1,9 @@
-import { marker, serverStatus, sessionTrack } from './constants';
-import { encodeWithLength, getLengthEncodedSize, readLengthEncoded } from './lengthEncoded';
+import { marker, serverStatus, sessionTrackType } from './constants';
+import {
+  encodeWithLength,
+  getLengthEncodedIntegerSize,
+  readLengthEncodedInteger,
+} from './lengthEncoded';
 
 /** The content of an OK packet, sent at the end of a statement without rows. @public */
 export interface OkPacket {
@@ -29,19 +33,19 @@
 /**
  * Parses an OK packet of a connection with session tracking.
  *
- * @throws RangeError if the packet is truncated.
+ * @throws RangeError if a number or a length is truncated.
  * @internal
  */
 export function parseOk(payload: Buffer): OkPacket {
-  const insertIdOffset = 1 + getLengthEncodedSize(payload, 1);
-  const statusOffset = insertIdOffset + getLengthEncodedSize(payload, insertIdOffset);
+  const insertIdOffset = 1 + getLengthEncodedIntegerSize(payload, 1);
+  const statusOffset = insertIdOffset + getLengthEncodedIntegerSize(payload, insertIdOffset);
   const status = payload.readUInt16LE(statusOffset);
   const infoOffset = statusOffset + 4;
   const infoEnd = infoOffset < payload.length ? getStringEnd(payload, infoOffset) : infoOffset;
   const hasState = hasFlag(status, serverStatus.sessionStateChanged) && infoEnd < payload.length;
   return {
     counts: payload.subarray(1, statusOffset),
-    insertId: readLengthEncoded(payload, insertIdOffset),
+    insertId: readLengthEncodedInteger(payload, insertIdOffset),
     status,
     warnings: payload.readUInt16LE(statusOffset + 2),
     info: infoOffset < infoEnd ? readString(payload, infoOffset) : EMPTY_OK.info,
@@ -74,7 +78,7 @@
 
 function encodeSystemVariable(name: string, value: string): Buffer {
   const entry = Buffer.concat([encodeWithLength(name), encodeWithLength(value)]);
-  return Buffer.concat([Buffer.from([sessionTrack.systemVariable]), encodeWithLength(entry)]);
+  return Buffer.concat([Buffer.from([sessionTrackType.systemVariable]), encodeWithLength(entry)]);
 }
 
 /** Returns the first GTID entry of session-track data. */
@@ -84,21 +88,25 @@
     const type = state.readUInt8(offset);
     const entry = readString(state, offset + 1);
     // Skips byte 0, the encoding specification.
-    if (type === sessionTrack.gtids) return readString(entry, 1).toString('latin1');
+    if (type === sessionTrackType.gtids) return readString(entry, 1).toString('latin1');
     offset = getStringEnd(state, offset + 1);
   }
   return undefined;
 }
 
+/** Reads the length-encoded string at `offset`. */
 function readString(buffer: Buffer, offset: number): Buffer {
   return buffer.subarray(
-    offset + getLengthEncodedSize(buffer, offset),
+    offset + getLengthEncodedIntegerSize(buffer, offset),
     getStringEnd(buffer, offset),
   );
 }
 
+/** Returns the offset after the length-encoded string at `offset`. */
 function getStringEnd(buffer: Buffer, offset: number): number {
-  return offset + getLengthEncodedSize(buffer, offset) + readLengthEncoded(buffer, offset);
+  return (
+    offset + getLengthEncodedIntegerSize(buffer, offset) + readLengthEncodedInteger(buffer, offset)
+  );
 }
 
 /* eslint-disable no-bitwise -- protocol flags are bit masks */
--- a/packages/mysql/src/lib/protocol/textResult.ts
+++ b/packages/mysql/src/lib/protocol/textResult.ts
@@ -1,5 +1,5 @@
 import { UTF8MB4_COLLATION, columnType, marker, serverStatus } from './constants';
-import { encodeLength, encodeWithLength } from './lengthEncoded';
+import { encodeLengthEncodedInteger, encodeWithLength } from './lengthEncoded';
 
 /** A result set of text columns that the proxy generates itself. @public */
 export interface TextResult {
@@ -10,20 +10,20 @@
 }
 
 /** Unused bits at the start of the NULL bitmap of a binary row. */
-const NULL_MAP_RESERVED_BITS = 2;
+const NULL_BITMAP_RESERVED_BITS = 2;
 const BITS_PER_BYTE = 8;
 
 const NULL_VALUE = Buffer.from([0xfb]);
-const MAXIMUM_VALUE_BYTES = 65_535;
+const COLUMN_LENGTH_BYTES = 65_535;
 
 /** Encodes a result set as payloads, one for each packet. @internal */
 export function encodeTextResult(result: TextResult, status: number): Buffer[] {
   const { columns, rows, isBinary } = result;
   return [
-    encodeLength(columns.length),
-    ...columns.map(encodeColumn),
+    encodeLengthEncodedInteger(columns.length),
+    ...columns.map(encodeColumnDefinition),
     encodeEof(status),
-    ...rows.map(isBinary ? encodeBinaryRow : encodeRow),
+    ...rows.map(isBinary ? encodeBinaryRow : encodeTextRow),
     encodeEof(status),
   ];
 }
@@ -35,28 +35,30 @@
   return payload;
 }
 
-function encodeColumn(name: string): Buffer {
+function encodeColumnDefinition(name: string): Buffer {
   const fixedFields = Buffer.alloc(13);
   fixedFields.writeUInt8(12, 0);
   fixedFields.writeUInt16LE(UTF8MB4_COLLATION, 1);
-  fixedFields.writeUInt32LE(MAXIMUM_VALUE_BYTES, 3);
+  fixedFields.writeUInt32LE(COLUMN_LENGTH_BYTES, 3);
   fixedFields.writeUInt8(columnType.variableString, 7);
   const names = ['def', '', '', '', name, name].map(encodeWithLength);
   return Buffer.concat([...names, fixedFields]);
 }
 
-function encodeRow(row: (string | null)[]): Buffer {
+function encodeTextRow(row: (string | null)[]): Buffer {
   return Buffer.concat(row.map((value) => (value === null ? NULL_VALUE : encodeWithLength(value))));
 }
 
 function encodeBinaryRow(row: (string | null)[]): Buffer {
-  const nullMap = Buffer.alloc(Math.ceil((row.length + NULL_MAP_RESERVED_BITS) / BITS_PER_BYTE));
+  const nullBitmap = Buffer.alloc(
+    Math.ceil((row.length + NULL_BITMAP_RESERVED_BITS) / BITS_PER_BYTE),
+  );
   row.forEach((value, column) => {
     if (value !== null) return;
-    const bit = column + NULL_MAP_RESERVED_BITS;
+    const bit = column + NULL_BITMAP_RESERVED_BITS;
     const byte = Math.floor(bit / BITS_PER_BYTE);
-    nullMap.writeUInt8(nullMap.readUInt8(byte) + 2 ** (bit % BITS_PER_BYTE), byte);
+    nullBitmap.writeUInt8(nullBitmap.readUInt8(byte) + 2 ** (bit % BITS_PER_BYTE), byte);
   });
   const values = row.filter((value) => value !== null).map(encodeWithLength);
-  return Buffer.concat([Buffer.from([0]), nullMap, ...values]);
+  return Buffer.concat([Buffer.from([0]), nullBitmap, ...values]);
 }
--- a/packages/mysql/src/lib/upstream/frameCollector.ts
+++ b/packages/mysql/src/lib/upstream/frameCollector.ts
@@ -55,8 +55,10 @@
 }
 
 /**
- * Writes the length into the frame header. The parser leaves it uninitialized in a packet that it
- * joins from two chunks, which starts a buffer of its own; callers would lose rows.
+ * Writes the payload length into the header of a packet at the start of its buffer.
+ *
+ * The parser copies a packet that spans several chunks into a new buffer and leaves the length
+ * there uninitialized, so callers would lose rows. For other packets the write changes nothing.
  */
 function restoreFrameLength({ buffer, start, end }: DriverPacket): void {
   if (start === 0) buffer.writeUIntLE(end - HEADER_BYTES, 0, LENGTH_BYTES);
--- a/packages/mysql/src/lib/upstream/responseReader.ts
+++ b/packages/mysql/src/lib/upstream/responseReader.ts
@@ -1,7 +1,7 @@
 import { marker, serverStatus } from '../protocol/constants';
 import { parseError } from '../protocol/errorPacket';
 import { toFrames } from '../protocol/frames';
-import { readLengthEncoded } from '../protocol/lengthEncoded';
+import { readLengthEncodedInteger } from '../protocol/lengthEncoded';
 import { hasFlag, parseOk } from '../protocol/okPacket';
 import type { FinalPacket } from './upstreamStatement';
 
@@ -11,6 +11,7 @@
    * @param payload - payload of the next packet.
    * @returns the final packet, or undefined if more packets follow.
    * @throws ProtocolError if the packet is not allowed at this point.
+   * @throws RangeError if the packet is truncated.
    */
   read: (payload: Buffer) => FinalPacket | undefined;
 }
@@ -48,7 +49,7 @@
       if (payload.length === 0 || payload[0] === marker.localFile || payload[0] === marker.eof) {
         throw new ProtocolError('unexpected packet at the start of a response');
       }
-      remainingColumns = readLengthEncoded(payload, 0);
+      remainingColumns = readLengthEncodedInteger(payload, 0);
       state = 'columns';
       return undefined;
     },
--- a/packages/mysql/src/lib/upstream/upstreamConnection.ts
+++ b/packages/mysql/src/lib/upstream/upstreamConnection.ts
@@ -48,17 +48,21 @@
 /** A database connection that runs one statement at a time. @public */
 export interface UpstreamConnection {
   readonly isOpen: boolean;
+  /** Runs a statement; calls `onLost` at once if the connection is not open. */
   run: (statement: UpstreamStatement, receiver: ResponseReceiver) => void;
   /** Resets the session state; `onReset` is not called if the connection closes first. */
   reset: (onReset: () => void) => void;
   /** Pauses reading, for backpressure from the receiver. */
   pause: () => void;
   resume: () => void;
-  /** Closes the connection immediately and discards outstanding responses. */
+  /**
+   * Closes the connection immediately; `onLost` of a running statement and `onClosed`, or
+   * `onOpenFailed`, are called before it returns.
+   */
   destroy: () => void;
 }
 
-/** Disables mysql2's default flags that change packets; session tracking is on by default. */
+/** Disables mysql2 default flags that callers are not offered; session tracking stays enabled. */
 const DRIVER_FLAGS = ['-CLIENT_QUERY_ATTRIBUTES', '-LOCAL_FILES', '-IGNORE_SPACE', '-ODBC'];
 
 const TOO_MANY_CONNECTIONS_ERROR_CODE = 1040;
@@ -86,6 +90,7 @@
   let state: State = 'opening';
   let receiver: ResponseReceiver | undefined;
 
+  /** @param failure - reason for `onOpenFailed`; unused if the connection was open. */
   const close = (failure: ConnectFailure): void => {
     if (state === 'closed') return;
     const wasOpen = state === 'open';
@@ -106,7 +111,8 @@
   driver.on('error', (error: { errno?: number }) => {
     close(error.errno === TOO_MANY_CONNECTIONS_ERROR_CODE ? 'connectionLimit' : 'connectFailed');
   });
-  // The driver warns of a packet out of order: responses can no longer be matched to commands.
+  // The driver emits `warn` for a packet out of order, after which responses cannot be matched to
+  // commands.
   driver.on('warn', () => close('connectFailed'));
   stream.on('close', () => close('connectFailed'));
   // Runs after the driver's listener has parsed the chunk, so its frames are forwarded together.
@@ -121,7 +127,7 @@
     frames: Buffer[],
     reader: ResponseReader,
     isForwarded: boolean,
-    onDone: (answer: CompletedAnswer) => void,
+    onDone: (response: CompletedAnswer) => void,
   ): void => {
     const readPacket = (packet: DriverPacket): boolean => {
       const final = readOrClose(reader, packet);
@@ -155,18 +161,23 @@
     }
   }
 
-  const finish = (answer: CompletedAnswer): void => {
+  const finish = (response: CompletedAnswer): void => {
     const finishedReceiver = receiver;
     receiver = undefined;
-    finishedReceiver?.onAnswered(answer);
+    finishedReceiver?.onAnswered(response);
   };
 
-  const prepare = (sql: string, onPrepared: (answer: CompletedAnswer) => void): void => {
+  const prepare = (sql: string, onPrepared: (response: CompletedAnswer) => void): void => {
     const payload = Buffer.concat([Buffer.from([commandCode.prepare]), Buffer.from(sql)]);
-    send([toFrames(payload, COMMAND_SEQUENCE)], createPrepareResponseReader(), false, (answer) => {
-      if (answer.final.type === 'prepared') cacheStatementId(sql, answer.final.description);
-      onPrepared(answer);
-    });
+    send(
+      [toFrames(payload, COMMAND_SEQUENCE)],
+      createPrepareResponseReader(),
+      false,
+      (response) => {
+        if (response.final.type === 'prepared') cacheStatementId(sql, response.final.description);
+        onPrepared(response);
+      },
+    );
   };
 
   function cacheStatementId(sql: string, { header }: PreparedDescription): void {
@@ -192,9 +203,9 @@
         execute(cachedId, statement);
         return;
       }
-      prepare(statement.sql, (answer) => {
-        if (answer.final.type !== 'prepared') finish(answer);
-        else execute(answer.final.description.header.readUInt32LE(STATEMENT_ID_OFFSET), statement);
+      prepare(statement.sql, (result) => {
+        if (result.final.type !== 'prepared') finish(result);
+        else execute(result.final.description.header.readUInt32LE(STATEMENT_ID_OFFSET), statement);
       });
     },
   };
--- a/packages/mysql/src/lib/upstream/upstreamStatement.ts
+++ b/packages/mysql/src/lib/upstream/upstreamStatement.ts
@@ -34,8 +34,11 @@
    */
   onFrames: (frames: Buffer[], nextSequence: number) => void;
   /** The response is complete; the connection accepts the next statement. */
-  onAnswered: (answer: CompletedAnswer) => void;
-  /** The connection closed before the response was complete. */
+  onAnswered: (response: CompletedAnswer) => void;
+  /**
+   * The connection closed before the response was complete, or was not open when the statement was
+   * run.
+   */
   onLost: () => void;
 }
 
