--- a/packages/telemetry/src/lib/burn/burnCounters.ts
+++ b/packages/telemetry/src/lib/burn/burnCounters.ts
@@ -41,7 +41,7 @@
   buckets: BurnBucket[];
 }
 
-function requestKey(request: { group: string; kind: string }): string {
+function createRequestKey(request: { group: string; kind: string }): string {
   return `${request.group}/${request.kind}`;
 }
 
@@ -63,15 +63,15 @@
     const next = new Map<string, LevelCounters[]>();
     levels.forEach((level) => {
       const counters = kept.get(JSON.stringify(level)) ?? { level, buckets: [] };
-      next.set(requestKey(level), [...(next.get(requestKey(level)) ?? []), counters]);
+      next.set(createRequestKey(level), [...(next.get(createRequestKey(level)) ?? []), counters]);
     });
     countersByKey = next;
   }
 
   function record(request: MeasuredRequest, now: number): void {
-    const matching = countersByKey.get(requestKey(request));
+    const matching = countersByKey.get(createRequestKey(request));
     matching?.forEach((counters) => {
-      const current = currentBucket(counters, now);
+      const current = getCurrentBucket(counters, now);
       if (isGood(request, counters.level)) current.good += 1;
       else current.bad += 1;
     });
@@ -93,7 +93,7 @@
 }
 
 /** Returns the last bucket, or appends a new one if its time has passed. */
-function currentBucket(counters: LevelCounters, now: number): BurnBucket {
+function getCurrentBucket(counters: LevelCounters, now: number): BurnBucket {
   const bucket = Math.floor(now / BUCKET_MILLISECONDS);
   const last = counters.buckets.at(-1);
   // If the clock was set back, counts in the last bucket to keep the buckets in order.
--- a/packages/telemetry/src/lib/burn/burnReport.ts
+++ b/packages/telemetry/src/lib/burn/burnReport.ts
@@ -12,8 +12,8 @@
 const HISTORY_STEP_MINUTES = 5;
 
 /**
- * Burn over one window. A rate of 1 uses up the error budget exactly at the end of the period of
- * the level; `rate` is undefined if there were no requests.
+ * Burn over one window. `rate` is the fraction of bad requests divided by the allowed fraction
+ * (1 - objective), undefined if there were no requests; at 1 the objective is just met.
  *
  * @public
  */
@@ -124,11 +124,11 @@
 }
 
 function chooseAlarm(windows: readonly BurnWindow[]): BurnAlarm {
-  const rateOf = (minutes: number): number =>
+  const getRate = (minutes: number): number =>
     windows.find((window) => window.minutes === minutes)?.rate ?? 0;
   const firing = ALARM_RULES.find(
     ({ longMinutes, shortMinutes, rate }) =>
-      rateOf(longMinutes) >= rate && rateOf(shortMinutes) >= rate,
+      getRate(longMinutes) >= rate && getRate(shortMinutes) >= rate,
   );
   return firing?.alarm ?? 'none';
 }
--- a/packages/telemetry/src/lib/burn/renderBurnPage.ts
+++ b/packages/telemetry/src/lib/burn/renderBurnPage.ts
@@ -1,8 +1,8 @@
 import type { BurnReport, BurnReportLevel } from './burnReport';
 import { formatMinutes, formatRate } from './renderBurnText';
 
-const PLOT_WIDTH = 720;
-const PLOT_HEIGHT = 120;
+const PLOT_WIDTH_PIXELS = 720;
+const PLOT_HEIGHT_PIXELS = 120;
 
 /** Minimum burn rate at the top of a plot. */
 const MINIMUM_PLOT_TOP = 2;
@@ -73,23 +73,25 @@
 function renderPlot(history: readonly (number | undefined)[]): string {
   const rates = history.filter((rate) => rate !== undefined);
   const top = Math.max(MINIMUM_PLOT_TOP, ...rates);
-  const toX = (index: number): string => ((index / (history.length - 1)) * PLOT_WIDTH).toFixed(1);
-  const toY = (rate: number): string => (PLOT_HEIGHT - (rate / top) * PLOT_HEIGHT).toFixed(1);
+  const toX = (index: number): string =>
+    ((index / (history.length - 1)) * PLOT_WIDTH_PIXELS).toFixed(1);
+  const toY = (rate: number): string =>
+    (PLOT_HEIGHT_PIXELS - (rate / top) * PLOT_HEIGHT_PIXELS).toFixed(1);
   const points = history.map((rate, index) =>
     rate === undefined
       ? ''
       : `<circle cx="${toX(index)}" cy="${toY(rate)}" r="2.5" fill="#1f6feb"/>`,
   );
-  return `<svg width="${PLOT_WIDTH}" height="${PLOT_HEIGHT}" role="img" aria-label="burn rate over six hours">
-<line x1="0" x2="${PLOT_WIDTH}" y1="${toY(1)}" y2="${toY(1)}" stroke="#b3261e" stroke-dasharray="4"/>
-<path d="${plotPath(history, toX, toY)}" fill="none" stroke="#1f6feb" stroke-width="1.5"/>
+  return `<svg width="${PLOT_WIDTH_PIXELS}" height="${PLOT_HEIGHT_PIXELS}" role="img" aria-label="burn rate over six hours">
+<line x1="0" x2="${PLOT_WIDTH_PIXELS}" y1="${toY(1)}" y2="${toY(1)}" stroke="#b3261e" stroke-dasharray="4"/>
+<path d="${createPlotPath(history, toX, toY)}" fill="none" stroke="#1f6feb" stroke-width="1.5"/>
 ${points.join('')}
 <text x="4" y="12" font-size="11">burn rate ${top.toFixed(1)}</text>
 </svg>
 <p>Six hours, five minutes a point; the dashed line is a burn rate of 1.</p>`;
 }
 
-function plotPath(
+function createPlotPath(
   history: readonly (number | undefined)[],
   toX: (index: number) => string,
   toY: (rate: number) => string,
--- a/packages/telemetry/src/lib/burn/renderBurnText.ts
+++ b/packages/telemetry/src/lib/burn/renderBurnText.ts
@@ -35,12 +35,12 @@
     level.kind,
     `${level.objective}`,
     ...rates,
-    formatLongestWindow(windows),
+    formatLongestWindowCounts(windows),
     alarm,
   ];
 }
 
-function formatLongestWindow(windows: readonly BurnWindow[]): string {
+function formatLongestWindowCounts(windows: readonly BurnWindow[]): string {
   const window = windows.at(-1);
   return window ? `${window.bad}/${window.bad + window.good}` : '0/0';
 }
--- a/packages/telemetry/src/lib/explain/explainRequest.ts
+++ b/packages/telemetry/src/lib/explain/explainRequest.ts
@@ -4,7 +4,7 @@
 export type StepKind =
   /** Contains the request id. */
   | 'request'
-  /** Changed the state that an instance held for the group of the request. */
+  /** Names the group of the request and belongs to no request. */
   | 'belief'
   /** An involved instance lost or regained a dependency, or started or stopped. */
   | 'dependency'
@@ -74,12 +74,12 @@
   const startedAt = Math.min(
     ...requestLines.map(({ at, fields }) => at - Number(fields.waitedMilliseconds ?? 0)),
   );
-  const groups = unique(
+  const groups = removeDuplicates(
     requestLines.flatMap(({ fields }) => (fields.group ? [String(fields.group)] : [])),
   );
-  const instances = unique(requestLines.map(({ instance }) => instance));
+  const instances = removeDuplicates(requestLines.map(({ instance }) => instance));
 
-  const kindOf = (line: LogLine): StepKind | undefined => {
+  const classifyLine = (line: LogLine): StepKind | undefined => {
     if (line.fields.requestId === requestId) return 'request';
     if (hasRequestId(line)) return undefined;
     if (groups.includes(String(line.fields.group))) return 'belief';
@@ -91,7 +91,7 @@
     ({ at }) => at >= startedAt - LOOKBACK_MILLISECONDS && at <= last.at + LOOKAHEAD_MILLISECONDS,
   );
   const matched = nearby.flatMap((line) => {
-    const kind = kindOf(line);
+    const kind = classifyLine(line);
     return kind ? [{ ...line, kind, offset: line.at - startedAt }] : [];
   });
   const kept = keepNearest(matched);
@@ -120,7 +120,10 @@
   return states.sort((left, right) => left.at - right.at);
 }
 
-/** Keeps the steps closest to the request, in time order. */
+/**
+ * Keeps every line of the request and, up to `MAXIMUM_STEPS` in total, the other steps closest to its
+ * start; the order is unchanged.
+ */
 function keepNearest(steps: readonly ExplainedStep[]): ExplainedStep[] {
   const others = steps.filter(({ kind }) => kind !== 'request');
   const remaining = Math.max(0, MAXIMUM_STEPS - (steps.length - others.length));
@@ -131,6 +134,6 @@
   return steps.filter((step) => step.kind === 'request' || kept.has(step));
 }
 
-function unique(values: readonly string[]): string[] {
+function removeDuplicates(values: readonly string[]): string[] {
   return [...new Set(values)];
 }
--- a/packages/telemetry/src/lib/explain/readLogLines.ts
+++ b/packages/telemetry/src/lib/explain/readLogLines.ts
@@ -22,7 +22,7 @@
 
 /**
  * Parses a log and sorts its lines by time. Skips prefixes that a log collector added, and lines
- * without JSON.
+ * that are not complete JSON or lack instance, event or time.
  *
  * @public
  */
--- a/packages/telemetry/src/lib/latency/latencyRecorder.ts
+++ b/packages/telemetry/src/lib/latency/latencyRecorder.ts
@@ -1,7 +1,7 @@
 import { build } from 'hdr-histogram-js';
 import type { Histogram } from 'hdr-histogram-js';
 
-/** Key of a latency histogram. @public */
+/** Identifies a series of latencies, which has its own histogram. @public */
 export interface LatencySeries {
   group: string;
   kind: string;
--- a/packages/telemetry/src/lib/log/createBoundedLogger.ts
+++ b/packages/telemetry/src/lib/log/createBoundedLogger.ts
@@ -7,9 +7,7 @@
   backlogBytes?: () => number;
 }
 
-/**
- * Limits by level; enough to log each failure at 100 statements per second, all of them failing.
- */
+/** Limits by level; 100 failures per second fit within those of `warn` and `error`. */
 const MAXIMUM_LINES_PER_SECOND: Record<LogLevel, number> = {
   trace: 20,
   debug: 20,
@@ -26,7 +24,7 @@
  * Wraps a logger to limit its lines per second, so that logging does not increase an overload, and
  * its backlog, so that a slow reader of standard output does not use up memory.
  *
- * Dropped lines are counted; the count is logged at most once per second.
+ * Dropped lines are counted; the count is logged at most once per second, with the next line.
  *
  * @public
  */
--- a/packages/telemetry/src/test/burn.test.ts
+++ b/packages/telemetry/src/test/burn.test.ts
@@ -16,9 +16,9 @@
   latencyMilliseconds: 100,
 };
 const NOON = Date.parse('2026-12-01T12:00:00Z');
-const MINUTE = 60_000;
+const MINUTE_MILLISECONDS = 60_000;
 
-/** Counts `good` and `bad` requests in each of the last `minutes`. */
+/** Counts `good` and `bad` requests once a minute, from `minutes` before noon to noon inclusive. */
 function countRequests(options: { minutes: number; good: number; bad: number }) {
   const counters = createBurnCounters();
   counters.setServiceLevels([LEVEL]);
@@ -28,7 +28,7 @@
       at,
     );
   for (let minute = options.minutes; minute >= 0; minute -= 1) {
-    const at = NOON - minute * MINUTE;
+    const at = NOON - minute * MINUTE_MILLISECONDS;
     for (let count = 0; count < options.good; count += 1) record(true, at);
     for (let count = 0; count < options.bad; count += 1) record(false, at);
   }
