--- a/packages/proxy/src/lib/configuration/announcer.ts
+++ b/packages/proxy/src/lib/configuration/announcer.ts
@@ -7,7 +7,8 @@
 import type { ConfigurationTaskTimes } from './configurationTaskTimes';
 
 /**
- * Sends announcements to peers. A peer that misses one gets the change with its next poll.
+ * Sends announcements to peers. A missed configuration or leaving reaches the peer with its next
+ * read; a missed primary is not sent again.
  *
  * @internal
  */
@@ -35,7 +36,10 @@
     });
   }
 
-  /** Retries until the peer answers or a newer configuration replaces this one. */
+  /**
+   * Makes up to `announceAttempts` attempts; ends early when the peer answers, a newer configuration
+   * is active or the task stops.
+   */
   async function announceToPeer(address: string, object: ConfigurationObject): Promise<void> {
     for (let attempt = 0; attempt < times.announceAttempts; attempt += 1) {
       if (signal.aborted || currentNumber() > object.number) return;
@@ -47,14 +51,14 @@
   async function announcePrimary(published: PublishedPrimary): Promise<void> {
     const send = (address: string): Promise<boolean> =>
       hasSucceeded(peers.announcePrimary(address, published));
-    await Promise.all(registry.peerAddresses().map(send));
+    await Promise.all(registry.listPeerAddresses().map(send));
   }
 
   async function announceLeaving(): Promise<void> {
     const { name } = registry.self();
     const send = (address: string): Promise<boolean> =>
       hasSucceeded(peers.announceLeaving(address, name));
-    await Promise.all(registry.peerAddresses().map(send));
+    await Promise.all(registry.listPeerAddresses().map(send));
   }
 
   return { announceConfiguration, announcePrimary, announceLeaving };
--- a/packages/proxy/src/lib/configuration/configurationEvents.ts
+++ b/packages/proxy/src/lib/configuration/configurationEvents.ts
@@ -14,7 +14,10 @@
   | { name: 'watchRoleChanged'; isWatcher: boolean }
   | { name: 'instancesChanged'; live: string[]; leaving: string[] }
   | { name: 'primaryPublishFailed'; group: string; term: number; reason: string }
-  /** An unexpected error; the loop continues after a delay. */
+  /**
+   * An unexpected error in a loop, in the callback `onConfiguration` or in a platform call; the task
+   * continues.
+   */
   | { name: 'configurationTaskFault'; loop: string; reason: string };
 
 /** @public */
--- a/packages/proxy/src/lib/configuration/configurationFollower.ts
+++ b/packages/proxy/src/lib/configuration/configurationFollower.ts
@@ -19,8 +19,8 @@
 }
 
 /**
- * Delay after a watch that ended early without a change; limits the request rate if the platform
- * never waits.
+ * A watch without a change that ends sooner is followed by a delay of this length, to limit the
+ * request rate if the platform does not wait.
  */
 const MINIMUM_WATCH_MILLISECONDS = 100;
 
@@ -35,23 +35,26 @@
   options: ConfigurationFollowerOptions,
 ): (signal: AbortSignal) => Promise<number> {
   const { settings, backOff, now, random, state, reader, queries, registry } = options;
-  let hasStarted = false;
+  let hasReadInitial = false;
   let failures = 0;
 
   async function runStep(signal: AbortSignal): Promise<number> {
-    if (!hasStarted) return readInitial();
+    if (!hasReadInitial) return readInitial();
     return registry.isWatcher() ? watch(signal) : poll(signal);
   }
 
-  /** If the platform is unavailable, adopts the newest configuration of the peers instead. */
+  /**
+   * If the read fails, for example because the platform is unavailable, adopts the newest
+   * configuration of the peers.
+   */
   async function readInitial(): Promise<number> {
     try {
       await reader.read();
-      hasStarted = true;
+      hasReadInitial = true;
       return onSuccess(0);
     } catch {
-      await Promise.all(registry.peerAddresses().map(queries.queryConfiguration));
-      hasStarted = state.current() !== undefined;
+      await Promise.all(registry.listPeerAddresses().map(queries.pullConfiguration));
+      hasReadInitial = state.current() !== undefined;
       return onFailure();
     }
   }
@@ -72,38 +75,39 @@
   }
 
   /**
-   * Ignores answers that the platform confirmed too long ago; otherwise two instances that poll
-   * each other could keep a stale configuration forever.
+   * Asks the next watcher, and finally the platform, if an answer was confirmed too long ago (a newer
+   * configuration in it is adopted anyway); otherwise two instances that poll each other could keep
+   * a stale configuration forever.
    */
   async function poll(signal: AbortSignal): Promise<number> {
-    for (const address of registry.sourceAddresses()) {
-      const age = await queries.queryConfiguration(address);
-      if (age <= registry.ageLimitMilliseconds) return onSuccess(pollDelay());
+    for (const address of registry.listSourceAddresses()) {
+      const age = await queries.pullConfiguration(address);
+      if (age <= registry.ageLimitMilliseconds) return onSuccess(getPollDelay());
     }
     try {
       await reader.watch({ waitMilliseconds: 0, signal });
-      return onSuccess(pollDelay());
+      return onSuccess(getPollDelay());
     } catch {
       if (signal.aborted) return 0;
       await queryRandomPeer();
-      return Math.max(onFailure(), pollDelay());
+      return Math.max(onFailure(), getPollDelay());
     }
   }
 
   /** Queries a random peer, which may still reach the platform. */
   async function queryRandomPeer(): Promise<void> {
-    const addresses = registry.peerAddresses();
+    const addresses = registry.listPeerAddresses();
     const address = addresses[Math.floor(random() * addresses.length)];
-    if (address !== undefined) await queries.queryConfiguration(address);
+    if (address !== undefined) await queries.pullConfiguration(address);
   }
 
-  function pollDelay(): number {
+  function getPollDelay(): number {
     return jitterMilliseconds({ milliseconds: settings.pollMilliseconds, random: random() });
   }
 
-  function onSuccess(pause: number): number {
+  function onSuccess(delayMilliseconds: number): number {
     failures = 0;
-    return pause;
+    return delayMilliseconds;
   }
 
   function onFailure(): number {
--- a/packages/proxy/src/lib/configuration/configurationReader.ts
+++ b/packages/proxy/src/lib/configuration/configurationReader.ts
@@ -7,9 +7,16 @@
 
 /** Reads the configuration object from the platform into the configuration state. @internal */
 export interface ConfigurationReader {
-  /** @returns undefined if the platform has no configuration yet. */
+  /**
+   * @returns undefined if the platform has no configuration yet.
+   * @throws UnreadableConfigurationError if the object does not pass the schema.
+   */
   read: () => Promise<VersionedConfiguration | undefined>;
-  /** Waits for a newer version than the last one seen; 0 milliseconds checks without waiting. */
+  /**
+   * Waits for a newer version than the last one seen; 0 milliseconds checks without waiting.
+   *
+   * @throws UnreadableConfigurationError if the object does not pass the schema.
+   */
   watch: (options: { waitMilliseconds: number; signal: AbortSignal }) => Promise<void>;
 }
 
--- a/packages/proxy/src/lib/configuration/configurationState.ts
+++ b/packages/proxy/src/lib/configuration/configurationState.ts
@@ -16,7 +16,10 @@
    * @returns whether it was adopted.
    */
   adoptIfNewer: (candidate: unknown, source: ConfigurationSource) => boolean;
-  /** Records that the platform reported this number as current `ageMilliseconds` ago. */
+  /**
+   * Records that the platform reported this number as current `ageMilliseconds` ago; ignored if the
+   * active number is higher.
+   */
   confirm: (confirmation: { number: number; ageMilliseconds: number }) => void;
 }
 
--- a/packages/proxy/src/lib/configuration/configurationTask.ts
+++ b/packages/proxy/src/lib/configuration/configurationTask.ts
@@ -57,7 +57,12 @@
 /** Result of a lookup by patch id; `unknown` if the platform did not answer. @public */
 export type PatchLookupResult = PatchFinding | { status: 'unknown' };
 
-/** Configuration number of one instance; undefined if it did not answer. @public */
+/**
+ * Configuration number of one instance; -1 before its first configuration, undefined if it did not
+ * answer.
+ *
+ * @public
+ */
 export interface InstanceNumber {
   instance: Instance;
   number: number | undefined;
@@ -89,8 +94,11 @@
   /** The retained accepted patches, newest last. */
   history: () => AcceptedPatch[];
   /**
-   * Announces a primary to the peers and publishes it at the platform, with unlimited retries.
-   * Resolves when every peer has answered or failed.
+   * Announces a primary to the peers and publishes it at the platform. Resolves when every peer has
+   * answered or failed.
+   *
+   * Publishing retries version conflicts and an unavailable platform until the primary is stored, a
+   * higher term replaces it or the task stops; other errors are permanent.
    */
   publishPrimary: (groupObject: GroupObject) => Promise<void>;
   /** Queries the configuration number of every known instance. */
@@ -99,7 +107,8 @@
 
 /**
  * Creates the task that tracks the configuration and the instances. It makes the calls to platform
- * and peers and runs the timers; all decisions are made in `@wisterialift/core`.
+ * and peers and runs the timers; adoption, roles and patch outcomes are decided in
+ * `@wisterialift/core`.
  *
  * @example
  * const task = createConfigurationTask({ settings, platform, peers, random, now, ...handlers });
@@ -183,8 +192,9 @@
   }
 
   /**
-   * Announces even if the watch delivered the patch before the update was answered; only the source
-   * `patch` also reaches the other data centres.
+   * Announces here instead of in `onAdopted`: if the watch delivered the patch before the update was
+   * answered, it is not adopted again. Only the source `patch` reaches the watchers of other data
+   * centres.
    */
   function onAccepted(object: ConfigurationObject): void {
     state.adoptIfNewer(object, 'patch');
@@ -193,7 +203,7 @@
   }
 
   function onInstancesChanged(instances: Instance[]): void {
-    peers.retainAddresses(registry.peerAddresses());
+    peers.retainAddresses(registry.listPeerAddresses());
     options.onInstances(instances);
   }
 
--- a/packages/proxy/src/lib/configuration/configurationTaskTimes.ts
+++ b/packages/proxy/src/lib/configuration/configurationTaskTimes.ts
@@ -10,7 +10,10 @@
   backOff: BackOffTimes;
   /** Failed calls after which the outcome of a patch is `unknown`. */
   maximumPatchFailures: number;
-  /** Attempts to announce a configuration to one peer; its next poll covers a missed one. */
+  /**
+   * Attempts to announce a configuration to one peer; a missed one arrives with its next poll or
+   * watch.
+   */
   announceAttempts: number;
   announceRetryDelayMilliseconds: number;
   /** Delay of a loop after an unexpected error. */
--- a/packages/proxy/src/lib/configuration/instanceRegistry.ts
+++ b/packages/proxy/src/lib/configuration/instanceRegistry.ts
@@ -22,10 +22,10 @@
   instances: () => Instance[];
   isWatcher: () => boolean;
   /** Addresses of the watchers that this instance polls; empty if it is a watcher itself. */
-  sourceAddresses: () => string[];
+  listSourceAddresses: () => string[];
   /** Addresses of all other instances and of the seeds. */
-  peerAddresses: () => string[];
-  /** Maximum time since the platform confirmed the answer of a peer; older answers are ignored. */
+  listPeerAddresses: () => string[];
+  /** Maximum age of an answer from a watcher; if all are older, the platform is asked. */
   ageLimitMilliseconds: number;
   /** The list that is returned to peers. */
   getSnapshot: () => PeerInstances;
@@ -48,7 +48,7 @@
   onRoleChanged: () => void;
 }
 
-/** Peer answers whose lists were read within this time are treated as the same list. */
+/** A list that was read at most this long after the last applied one is treated as the same list. */
 const SAME_LIST_TOLERANCE_MILLISECONDS = 50;
 
 /** Creates the registry, which also keeps this instance registered at the platform. @internal */
@@ -56,10 +56,10 @@
   const { settings, platform, health, queries, now, random, record } = options;
   const { pollMilliseconds, watchMilliseconds } = settings.platform;
   const ageLimitMilliseconds = 2 * Math.max(pollMilliseconds, watchMilliseconds);
-  let view = createInstanceView(describeSelf(settings));
+  let view = createInstanceView(createSelf(settings));
   let knownInstances = instancesOf(view);
-  let wasWatcher = true;
-  let listedAt = -Infinity;
+  let isRecordedAsWatcher = true;
+  let listReadAt = -Infinity;
   let isRegistered = false;
   let listsWithoutSelf = 0;
 
@@ -68,15 +68,15 @@
     const instances = instancesOf(view);
     if (JSON.stringify(instances) === JSON.stringify(knownInstances)) return;
     knownInstances = instances;
-    record({ name: 'instancesChanged', ...namesByState(instances) });
+    record({ name: 'instancesChanged', ...groupNamesByState(instances) });
     updateRole();
     options.onChanged(instances);
   }
 
   function updateRole(): void {
-    if (isSelfWatcher() === wasWatcher) return;
-    wasWatcher = !wasWatcher;
-    record({ name: 'watchRoleChanged', isWatcher: wasWatcher });
+    if (isSelfWatcher() === isRecordedAsWatcher) return;
+    isRecordedAsWatcher = !isRecordedAsWatcher;
+    record({ name: 'watchRoleChanged', isWatcher: isRecordedAsWatcher });
     options.onRoleChanged();
   }
 
@@ -84,13 +84,13 @@
     return isWatcher({ self: view.self, instances: knownInstances });
   }
 
-  function sourceAddresses(): string[] {
+  function listSourceAddresses(): string[] {
     if (isSelfWatcher()) return [];
-    return chooseSources({ self: view.self, instances: knownInstances }).map(addressOf);
+    return chooseSources({ self: view.self, instances: knownInstances }).map(getPeerAddress);
   }
 
-  function peerAddresses(): string[] {
-    const others = knownInstances.filter(({ name }) => name !== view.self.name).map(addressOf);
+  function listPeerAddresses(): string[] {
+    const others = knownInstances.filter(({ name }) => name !== view.self.name).map(getPeerAddress);
     const addresses = new Set([...others, ...settings.peers.seeds]);
     addresses.delete(view.self.peerAddress);
     return [...addresses];
@@ -114,12 +114,12 @@
   }
 
   async function readList(): Promise<void> {
-    if (await readListFrom(sourceAddresses(), ageLimitMilliseconds)) return;
+    if (await readListFrom(listSourceAddresses(), ageLimitMilliseconds)) return;
     try {
       const instances = await health.track(platform.listInstances());
       applyList({ instances, ageMilliseconds: 0 });
     } catch {
-      await readListFrom(peerAddresses(), Infinity);
+      await readListFrom(listPeerAddresses(), Infinity);
     }
   }
 
@@ -136,19 +136,22 @@
   }
 
   /**
-   * Ignores a list that is not newer than the last, so that it cannot count as another missing
-   * entry.
+   * Ignores a list that is not newer than the last one; counted again, it would bring an absent
+   * instance closer to `MISSED_LISTS_LIMIT`.
    */
   function applyList({ instances, ageMilliseconds }: PeerInstances): void {
     const readAt = now() - ageMilliseconds;
-    if (readAt <= listedAt + SAME_LIST_TOLERANCE_MILLISECONDS) return;
-    listedAt = readAt;
-    checkOwnEntry(instances);
+    if (readAt <= listReadAt + SAME_LIST_TOLERANCE_MILLISECONDS) return;
+    listReadAt = readAt;
+    requestRegistrationIfMissing(instances);
     updateView(mergeInstanceList({ view, instances, now: now() }));
   }
 
-  /** Registers again if the platform has lost the entry of this instance. */
-  function checkOwnEntry(instances: Instance[]): void {
+  /**
+   * Has the next step register again if more than `MISSED_LISTS_LIMIT` lists in a row lack this
+   * instance after it was listed.
+   */
+  function requestRegistrationIfMissing(instances: Instance[]): void {
     const isListed = instances.some(({ name }) => name === view.self.name);
     listsWithoutSelf = isListed || !view.isSelfListed ? 0 : listsWithoutSelf + 1;
     if (listsWithoutSelf > MISSED_LISTS_LIMIT) isRegistered = false;
@@ -163,17 +166,17 @@
     self: () => view.self,
     instances: () => knownInstances,
     isWatcher: isSelfWatcher,
-    sourceAddresses,
-    peerAddresses,
+    listSourceAddresses,
+    listPeerAddresses,
     ageLimitMilliseconds,
-    getSnapshot: () => ({ instances: knownInstances, ageMilliseconds: now() - listedAt }),
+    getSnapshot: () => ({ instances: knownInstances, ageMilliseconds: now() - listReadAt }),
     updateSelf,
     onLeavingAnnounced: (name) => updateView(mergeLeaving({ view, name, now: now() })),
     runStep,
   };
 }
 
-function describeSelf({ instance, peers, administration }: Settings): Instance {
+function createSelf({ instance, peers, administration }: Settings): Instance {
   return {
     ...instance,
     peerAddress: `${peers.host}:${peers.port}`,
@@ -182,12 +185,12 @@
   };
 }
 
-function addressOf({ peerAddress }: Instance): string {
+function getPeerAddress({ peerAddress }: Instance): string {
   return peerAddress;
 }
 
-function namesByState(instances: Instance[]): { live: string[]; leaving: string[] } {
-  const namesOf = (state: Instance['state']): string[] =>
+function groupNamesByState(instances: Instance[]): { live: string[]; leaving: string[] } {
+  const listNames = (state: Instance['state']): string[] =>
     instances.filter((instance) => instance.state === state).map(({ name }) => name);
-  return { live: namesOf('live'), leaving: namesOf('leaving') };
+  return { live: listNames('live'), leaving: listNames('leaving') };
 }
--- a/packages/proxy/src/lib/configuration/patchSubmitter.ts
+++ b/packages/proxy/src/lib/configuration/patchSubmitter.ts
@@ -51,7 +51,7 @@
         onAccepted(value);
         return { type: 'updateStored' };
       } catch (error) {
-        return describeFailedUpdate(error);
+        return toSubmissionEvent(error);
       }
     },
     wait: async ({ failures }) => {
@@ -86,8 +86,8 @@
 }
 
 /** An answer that cannot be parsed does not rule out that the update was stored. */
-function describeFailedUpdate(error: unknown): SubmissionEvent {
+function toSubmissionEvent(error: unknown): SubmissionEvent {
   if (error instanceof VersionConflictError) return { type: 'updateConflicted' };
-  const isCertain = error instanceof PlatformUnavailableError && !error.mayHaveApplied;
-  return { type: 'callFailed', mayHaveApplied: !isCertain };
+  const isKnownNotApplied = error instanceof PlatformUnavailableError && !error.mayHaveApplied;
+  return { type: 'callFailed', mayHaveApplied: !isKnownNotApplied };
 }
--- a/packages/proxy/src/lib/configuration/peerQueries.ts
+++ b/packages/proxy/src/lib/configuration/peerQueries.ts
@@ -9,7 +9,7 @@
    * @returns milliseconds since the platform confirmed the active configuration to the peer;
    *   Infinity if the peer did not answer or has a lower number.
    */
-  queryConfiguration: (address: string) => Promise<number>;
+  pullConfiguration: (address: string) => Promise<number>;
   queryInstances: (address: string) => Promise<PeerInstances | undefined>;
 }
 
@@ -20,8 +20,8 @@
 }): PeerQueries {
   const { peers, state } = options;
 
-  async function queryConfiguration(address: string): Promise<number> {
-    const answer = await undefinedOnError(peers.fetchConfiguration(address, state.number()));
+  async function pullConfiguration(address: string): Promise<number> {
+    const answer = await resolveUndefinedOnError(peers.fetchConfiguration(address, state.number()));
     if (!answer) return Infinity;
     const { number, configurationObject, ageMilliseconds } = answer;
     if (configurationObject !== undefined) state.adoptIfNewer(configurationObject, 'peer');
@@ -31,12 +31,12 @@
   }
 
   return {
-    queryConfiguration,
-    queryInstances: (address) => undefinedOnError(peers.fetchInstances(address)),
+    pullConfiguration,
+    queryInstances: (address) => resolveUndefinedOnError(peers.fetchInstances(address)),
   };
 }
 
-async function undefinedOnError<Answer>(call: Promise<Answer>): Promise<Answer | undefined> {
+async function resolveUndefinedOnError<Answer>(call: Promise<Answer>): Promise<Answer | undefined> {
   try {
     return await call;
   } catch {
--- a/packages/proxy/src/lib/configuration/platformHealth.ts
+++ b/packages/proxy/src/lib/configuration/platformHealth.ts
@@ -6,7 +6,7 @@
   /**
    * Returns the outcome of a call and updates the availability of the platform from it.
    *
-   * @param signal - abort signal of the call; failures after an abort are ignored.
+   * @param signal - abort signal of the call; failures after an abort are thrown but not recorded.
    */
   track: <Answer>(call: Promise<Answer>, signal?: AbortSignal) => Promise<Answer>;
 }
--- a/packages/proxy/src/lib/configuration/primaryPublisher.ts
+++ b/packages/proxy/src/lib/configuration/primaryPublisher.ts
@@ -20,8 +20,9 @@
 }
 
 /**
- * Creates the function that publishes the primary of a group at the platform. It retries until the
- * primary is stored or a higher term replaces it.
+ * Creates the function that publishes the primary of a group at the platform. It retries version
+ * conflicts and an unavailable platform until the primary is stored, a higher term replaces it or
+ * the task stops; other errors are permanent.
  *
  * The published primary is informative only, because the terms of the members decide; failovers
  * therefore do not wait for it.
@@ -40,17 +41,19 @@
     latestTerms.set(group, term);
     let failures = 0;
     while (!signal.aborted && latestTerms.get(group) === term) {
-      if (await isPublished(groupObject, failures === 0)) return;
+      if (await tryPublish(groupObject, failures === 0)) return;
       failures += 1;
       await sleepAfterFailure(failures);
     }
   }
 
   /**
-   * Whether to stop retrying: the primary is stored, the term is not newer, or the error is
-   * permanent.
+   * Makes one attempt.
+   *
+   * @returns whether publishing has ended: the primary is stored, the platform has the same or a
+   *   higher term, or the error is permanent.
    */
-  async function isPublished(groupObject: GroupObject, isFirst: boolean): Promise<boolean> {
+  async function tryPublish(groupObject: GroupObject, isFirst: boolean): Promise<boolean> {
     try {
       return await publishOnce(groupObject);
     } catch (error) {
@@ -63,7 +66,7 @@
   async function publishOnce(groupObject: GroupObject): Promise<boolean> {
     const key = { kind: GROUP_OBJECT_KIND, name: groupObject.group };
     const present = await health.track(platform.getObject(key));
-    if (termOf(present?.value) >= groupObject.term) return true;
+    if (parseTerm(present?.value) >= groupObject.term) return true;
     const expectedVersion = present?.version ?? 0;
     await health.track(platform.putObject({ ...key, expectedVersion, value: groupObject }));
     return true;
@@ -74,15 +77,19 @@
   }
 
   async function sleepAfterFailure(failures: number): Promise<void> {
-    const pause = backOffMilliseconds({ failures, random: random(), times: times.backOff });
-    await sleep(pause, undefined, { signal, ref: false }).catch(() => undefined);
+    const delayMilliseconds = backOffMilliseconds({
+      failures,
+      random: random(),
+      times: times.backOff,
+    });
+    await sleep(delayMilliseconds, undefined, { signal, ref: false }).catch(() => undefined);
   }
 
   return publish;
 }
 
 /** Term of a published primary; -1 if there is none or it does not pass the schema. */
-function termOf(value: unknown): number {
+function parseTerm(value: unknown): number {
   const result = groupObjectSchema.safeParse(value);
   return result.success ? result.data.term : -1;
 }
--- a/packages/proxy/src/lib/configuration/taskLoop.ts
+++ b/packages/proxy/src/lib/configuration/taskLoop.ts
@@ -3,7 +3,7 @@
 /** Repeats a step with delays in between. @internal */
 export interface TaskLoop {
   start: () => void;
-  /** Aborts the delay or the current step, so that the next step begins. */
+  /** Aborts the signal of the current step and skips or ends the delay after it. */
   wake: () => void;
   /** Resolves when the current step has ended. */
   stop: () => Promise<void>;
@@ -27,8 +27,8 @@
   async function run(): Promise<void> {
     while (!isStopped) {
       controller = new AbortController();
-      const pause = await runStep(controller.signal);
-      await sleepUnlessAborted(pause, controller.signal);
+      const delayMilliseconds = await runStep(controller.signal);
+      await sleepUnlessAborted(delayMilliseconds, controller.signal);
     }
   }
 
--- a/packages/proxy/src/lib/process/createProxy.ts
+++ b/packages/proxy/src/lib/process/createProxy.ts
@@ -113,7 +113,7 @@
       onPrimaryPromoted,
     });
     path = opened;
-    opened.applyInstances(namesOfLive(configurationTask.instances()));
+    opened.applyInstances(listLiveNames(configurationTask.instances()));
     opened.listen().then(
       ({ host, port }) => {
         if (state === 'starting') state = 'serving';
@@ -133,7 +133,7 @@
 
   /** Drains when an operator has marked this instance as leaving in the platform's list. */
   function onInstances(instances: Instance[]): void {
-    path?.applyInstances(namesOfLive(instances));
+    path?.applyInstances(listLiveNames(instances));
     const self = instances.find(({ name }) => name === instanceName);
     if (self?.state === 'leaving') void drain();
   }
@@ -224,6 +224,6 @@
   return { start, drain, replaceKeys, drained };
 }
 
-function namesOfLive(instances: readonly Instance[]): string[] {
+function listLiveNames(instances: readonly Instance[]): string[] {
   return instances.filter(({ state }) => state === 'live').map(({ name }) => name);
 }
--- a/packages/proxy/src/lib/process/decisionRecorder.ts
+++ b/packages/proxy/src/lib/process/decisionRecorder.ts
@@ -2,10 +2,10 @@
 import type { LogLevel, Logger } from '@wisterialift/telemetry';
 
 /**
- * Log level of each decision. Decisions that occur for every statement are only counted, because a
- * log line would cost more than the statement.
+ * Log level of each engine record. Records that occur for every statement are not logged, because a
+ * log line would cost more than the statement; reads are counted instead.
  */
-const LEVEL_BY_EVENT: Record<EngineRecord['name'], LogLevel | 'counted'> = {
+const LEVEL_BY_EVENT: Record<EngineRecord['name'], LogLevel | 'notLogged'> = {
   primarySuspected: 'warn',
   suspicionCleared: 'info',
   termFenced: 'warn',
@@ -13,8 +13,8 @@
   primaryPromoted: 'warn',
   primaryLearned: 'info',
   memberAttached: 'info',
-  readRouted: 'counted',
-  writeConfirmed: 'counted',
+  readRouted: 'notLogged',
+  writeConfirmed: 'notLogged',
   requestRetried: 'debug',
   requestRejected: 'debug',
 };
@@ -50,7 +50,7 @@
       countRead(decision.group, decision.record.isReplica);
     }
     const level = LEVEL_BY_EVENT[name];
-    if (level === 'counted') return;
+    if (level === 'notLogged') return;
     logger[level](name, { group: decision.group, ...fields });
   }
 
--- a/packages/proxy/src/lib/process/runProxyProcess.ts
+++ b/packages/proxy/src/lib/process/runProxyProcess.ts
@@ -4,8 +4,8 @@
 import { readTlsKeys } from './readTlsKeys';
 
 /**
- * Runs an instance until it has drained, on SIGTERM, SIGINT or its leaving mark at the platform.
- * SIGHUP reloads the TLS keys.
+ * Runs an instance until it has drained, on SIGTERM, SIGINT or its leaving mark at the platform, or
+ * if the listener for callers cannot start. SIGHUP reloads the TLS keys.
  *
  * @throws TlsFileError before a socket is opened.
  * @public
--- a/packages/proxy/src/test/configurationFleet.ts
+++ b/packages/proxy/src/test/configurationFleet.ts
@@ -32,7 +32,7 @@
   adoptedNumbers: number[];
   instances: () => Instance[];
   primaries: PublishedPrimary[];
-  records: ConfigurationEvent[];
+  events: ConfigurationEvent[];
   stop: () => Promise<void>;
 }
 
@@ -40,7 +40,7 @@
   platform: PlatformStandIn;
   /** A platform client without injected failures. */
   client: PlatformClient;
-  members: FleetInstance[];
+  instances: FleetInstance[];
   add: (options: FleetInstanceOptions) => Promise<FleetInstance>;
   stop: () => Promise<void>;
 }
@@ -57,27 +57,27 @@
   const { port } = await platform.start();
   const address = `http://127.0.0.1:${port}`;
   const client = createPlatformClient({ address, timeoutMilliseconds: 5_000 });
-  const members: FleetInstance[] = [];
+  const instances: FleetInstance[] = [];
 
-  async function add(memberOptions: FleetInstanceOptions): Promise<FleetInstance> {
-    const settings = describeSettings(memberOptions, {
+  async function add(instanceOptions: FleetInstanceOptions): Promise<FleetInstance> {
+    const settings = createSettings(instanceOptions, {
       address,
       timeoutMilliseconds: 5_000,
       pollMilliseconds,
       watchMilliseconds,
     });
-    const member = await startInstance(settings, memberOptions);
-    members.push(member);
-    return member;
+    const instance = await startInstance(settings, instanceOptions);
+    instances.push(instance);
+    return instance;
   }
 
   async function stop(): Promise<void> {
-    await Promise.all(members.map((member) => member.stop()));
+    await Promise.all(instances.map((instance) => instance.stop()));
     client.close();
     await platform.stop();
   }
 
-  return { platform, client, members, add, stop };
+  return { platform, client, instances, add, stop };
 }
 
 /** Adds seven instances in three data centres. */
@@ -90,14 +90,14 @@
 }
 
 /** A patch that adds a request kind named after the patch id, so that every patch is a change. */
-export function describePatch(changes: Partial<ConfigurationPatch> = {}): ConfigurationPatch {
+export function createPatch(changes: Partial<ConfigurationPatch> = {}): ConfigurationPatch {
   const { patchId = 'patch-1', againstNumber = 0 } = changes;
   const kinds = { [`kind-of-${patchId}`]: { deadlineMilliseconds: 1_000 } };
   return { patchId, againstNumber, author: 'operator', changes: { kinds }, ...changes };
 }
 
-function describeSettings(member: FleetInstanceOptions, platform: Settings['platform']): Settings {
-  const { name, dataCentre = 'sesto-dc', seeds = [] } = member;
+function createSettings(instance: FleetInstanceOptions, platform: Settings['platform']): Settings {
+  const { name, dataCentre = 'sesto-dc', seeds = [] } = instance;
   return settingsSchema.parse({
     instance: { name, dataCentre, region: 'lomb-nord' },
     callers: { port: 0 },
@@ -117,7 +117,7 @@
   const peerClient = createPeerClient({ deadlineMilliseconds: 1_000 });
   const adoptedNumbers: number[] = [];
   const primaries: PublishedPrimary[] = [];
-  const records: ConfigurationEvent[] = [];
+  const events: ConfigurationEvent[] = [];
 
   const task = createConfigurationTask({
     settings,
@@ -131,7 +131,7 @@
     },
     onInstances: () => {},
     onPrimaryPublished: (published) => primaries.push(published),
-    record: (event) => records.push(event),
+    record: (event) => events.push(event),
     times: { backOff: { initialMilliseconds: 10, maximumMilliseconds: 100 } },
   });
   const peerServer = createPeerServer({ ...settings.peers, handlers: task.peerHandlers });
@@ -146,7 +146,7 @@
   }
 
   const { instances } = task;
-  return { name, task, peerAddress, adoptedNumbers, instances, primaries, records, stop };
+  return { name, task, peerAddress, adoptedNumbers, instances, primaries, events, stop };
 }
 
 function identity<Value>(value: Value): Value {
--- a/packages/proxy/src/test/configurationMeasure.ts
+++ b/packages/proxy/src/test/configurationMeasure.ts
@@ -1,21 +1,22 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { PeerClient } from '@wisterialift/peer';
-import { createFleet, describePatch } from './configurationFleet';
+import { createFleet, createPatch } from './configurationFleet';
 import type { Fleet, FleetOptions, FleetInstanceOptions } from './configurationFleet';
 
 /**
  * Measures the roll-out time of a configuration and the platform calls, and prints each result as
- * one line of JSON. All instances run in this process, over loopback, with the default times.
+ * one line of JSON. All instances run in this process, over loopback; the back-off of the tasks is
+ * shortened, see `createFleet`.
  */
 
 /** Which instances of a fleet watch the platform, and whether they announce changes. */
 interface WatchStrategy {
   name: string;
-  describeMember: (index: number) => FleetInstanceOptions;
+  createInstanceOptions: (index: number) => FleetInstanceOptions;
 }
 
 const DATA_CENTRES = ['sesto-dc', 'mestre-dc', 'modena-dc'];
-const DEFAULT_TIMES: FleetOptions = { pollMilliseconds: 5_000, watchMilliseconds: 30_000 };
+const FLEET_OPTIONS: FleetOptions = { pollMilliseconds: 5_000, watchMilliseconds: 30_000 };
 const PATCH_COUNT = 60;
 const PATCH_PAUSE_MILLISECONDS = 50;
 const FLEET_SIZES = [7, 14, 28, 56];
@@ -24,7 +25,7 @@
 
 const TWO_WATCHERS: WatchStrategy = {
   name: 'two watchers a data centre, announcements',
-  describeMember: (index) => ({
+  createInstanceOptions: (index) => ({
     name: `p${index}`,
     dataCentre: DATA_CENTRES[index % DATA_CENTRES.length],
   }),
@@ -32,8 +33,8 @@
 
 const TWO_WATCHERS_SILENT: WatchStrategy = {
   name: 'two watchers a data centre, questions only',
-  describeMember: (index) => ({
-    ...TWO_WATCHERS.describeMember(index),
+  createInstanceOptions: (index) => ({
+    ...TWO_WATCHERS.createInstanceOptions(index),
     wrapPeers: withoutAnnouncements,
   }),
 };
@@ -41,7 +42,7 @@
 /** A data centre for each instance makes each one a watcher. */
 const EVERYONE_WATCHES: WatchStrategy = {
   name: 'every instance watches',
-  describeMember: (index) => ({
+  createInstanceOptions: (index) => ({
     name: `p${index}`,
     dataCentre: `dc-${index}`,
     wrapPeers: withoutAnnouncements,
@@ -57,12 +58,12 @@
   size: number,
   onAdopted?: () => void,
 ): Promise<Fleet> {
-  const fleet = await createFleet(DEFAULT_TIMES);
+  const fleet = await createFleet(FLEET_OPTIONS);
   for (let index = 1; index <= size; index += 1) {
-    await fleet.add({ ...strategy.describeMember(index), onAdopted });
+    await fleet.add({ ...strategy.createInstanceOptions(index), onAdopted });
   }
   // Instances that started early get the complete list with their next read.
-  await waitUntil(() => fleet.members.every(({ instances }) => instances().length === size));
+  await waitUntil(() => fleet.instances.every(({ instances }) => instances().length === size));
   return fleet;
 }
 
@@ -70,7 +71,7 @@
   const startedAt = performance.now();
   while (!isDone()) {
     if (performance.now() - startedAt > MAXIMUM_WAIT_MILLISECONDS) {
-      throw new Error('timed out');
+      throw new Error('condition not met within the maximum wait');
     }
     await sleep(1);
   }
@@ -84,13 +85,13 @@
   });
   const durations: number[] = [];
   for (let number = 0; number < patches; number += 1) {
-    const { task } = fleet.members[number % fleet.members.length]!;
-    const patch = describePatch({ patchId: `patch-${number}`, againstNumber: number });
+    const { task } = fleet.instances[number % fleet.instances.length]!;
+    const patch = createPatch({ patchId: `patch-${number}`, againstNumber: number });
     const outcome = await task.submitPatch(patch);
     const acceptedAt = performance.now();
-    if (outcome.status !== 'accepted') throw new Error(`the patch is ${outcome.status}`);
+    if (outcome.status !== 'accepted') throw new Error(`patch not accepted: ${outcome.status}`);
     await waitUntil(() =>
-      fleet.members.every((member) => member.adoptedNumbers.at(-1) === number + 1),
+      fleet.instances.every((instance) => instance.adoptedNumbers.at(-1) === number + 1),
     );
     durations.push(Math.max(0, lastAdoptedAt - acceptedAt));
     await sleep(PATCH_PAUSE_MILLISECONDS);
@@ -114,8 +115,8 @@
 /** Platform calls per minute while the configuration does not change. */
 async function measureCalls(strategy: WatchStrategy, size: number): Promise<void> {
   const fleet = await startFleet(strategy, size);
-  await fleet.members[0]!.task.submitPatch(describePatch());
-  await waitUntil(() => fleet.members.every(({ task }) => task.current() !== undefined));
+  await fleet.instances[0]!.task.submitPatch(createPatch());
+  await waitUntil(() => fleet.instances.every(({ task }) => task.current() !== undefined));
   const before = fleet.platform.calls();
   await sleep(COUNT_DURATION_MILLISECONDS);
   const after = fleet.platform.calls();
--- a/packages/proxy/src/test/configurationTask.test.ts
+++ b/packages/proxy/src/test/configurationTask.test.ts
@@ -3,7 +3,7 @@
 import type { PlatformClient } from '@wisterialift/platform';
 import { CONFIGURATION_OBJECT, GROUP_OBJECT_KIND } from '@wisterialift/schema';
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
-import { addSevenInstances, createFleet, describePatch } from './configurationFleet';
+import { addSevenInstances, createFleet, createPatch } from './configurationFleet';
 import type { Fleet, FleetInstance } from './configurationFleet';
 
 let fleet: Fleet;
@@ -20,33 +20,36 @@
 
 async function waitForNumber(
   number: number,
-  members: FleetInstance[] = fleet.members,
+  fleetInstances: FleetInstance[] = fleet.instances,
 ): Promise<void> {
   const numbers = (): (number | undefined)[] =>
-    members.map(({ task }) => task.current()?.number ?? undefined);
-  await expect.poll(numbers, POLL_OPTIONS).toEqual(members.map(() => number));
+    fleetInstances.map(({ task }) => task.current()?.number ?? undefined);
+  await expect.poll(numbers, POLL_OPTIONS).toEqual(fleetInstances.map(() => number));
 }
 
 async function waitForInstances(
   count: number,
-  members: FleetInstance[] = fleet.members,
+  fleetInstances: FleetInstance[] = fleet.instances,
 ): Promise<void> {
-  const counts = (): number[] => members.map(({ instances }) => instances().length);
-  await expect.poll(counts, POLL_OPTIONS).toEqual(members.map(() => count));
+  const counts = (): number[] => fleetInstances.map(({ instances }) => instances().length);
+  await expect.poll(counts, POLL_OPTIONS).toEqual(fleetInstances.map(() => count));
 }
 
 function expectNoReversal(): void {
-  fleet.members.forEach(({ adoptedNumbers }) => {
+  fleet.instances.forEach(({ adoptedNumbers }) => {
     expect(adoptedNumbers).toEqual(
       [...new Set(adoptedNumbers)].sort((left, right) => left - right),
     );
   });
 }
 
-/** Fails all platform calls of one instance, in both directions, while `isCut` returns true. */
-function withPartition(platform: PlatformClient, isCut: () => boolean): PlatformClient {
+/**
+ * Fails all platform calls of one instance while `isPartitioned` returns true, before they are sent
+ * or when their answer arrives.
+ */
+function withPartition(platform: PlatformClient, isPartitioned: () => boolean): PlatformClient {
   const failIfPartitioned = (): void => {
-    if (isCut()) throw new PlatformUnavailableError('cut off', { mayHaveApplied: false });
+    if (isPartitioned()) throw new PlatformUnavailableError('cut off', { mayHaveApplied: false });
   };
   const entries = Object.entries(platform).map(([name, call]) => [
     name,
@@ -64,7 +67,7 @@
   it('is adopted by seven instances in three data centres', async () => {
     const [first] = await addSevenInstances(fleet);
     await waitForInstances(7);
-    expect(await first!.task.submitPatch(describePatch())).toEqual({
+    expect(await first!.task.submitPatch(createPatch())).toEqual({
       status: 'accepted',
       number: 1,
     });
@@ -80,10 +83,10 @@
     await waitForInstances(7);
     for (let round = 0; round < 5; round += 1) {
       const outcomes = await Promise.all(
-        fleet.members
+        fleet.instances
           .slice(0, 2)
           .map(({ name, task }) =>
-            task.submitPatch(describePatch({ patchId: `${name}-${round}`, againstNumber: round })),
+            task.submitPatch(createPatch({ patchId: `${name}-${round}`, againstNumber: round })),
           ),
       );
       expect(outcomes.map(({ status }) => status).sort()).toEqual(['accepted', 'outdated']);
@@ -96,13 +99,13 @@
   // Guards against reporting a stored patch as failed, or storing it twice, after its answer was
   // lost.
   it('is accepted once when the answer was lost after it took effect', async () => {
-    const member = await fleet.add({ name: 'p1', isStarted: false });
+    const instance = await fleet.add({ name: 'p1', isStarted: false });
     fleet.platform.changeFaults({ loseAnswers: 1 });
-    expect(await member.task.submitPatch(describePatch())).toEqual({
+    expect(await instance.task.submitPatch(createPatch())).toEqual({
       status: 'accepted',
       number: 1,
     });
-    expect(member.task.history()).toHaveLength(1);
+    expect(instance.task.history()).toHaveLength(1);
     expect(fleet.platform.calls().putObject).toBe(1);
   });
 
@@ -119,19 +122,19 @@
       },
     });
     const options = { name: 'p1', isStarted: false, wrapPlatform: goDownAfterUpdate };
-    const member = await fleet.add(options);
+    const instance = await fleet.add(options);
     fleet.platform.changeFaults({ loseAnswers: 1 });
-    expect(await member.task.submitPatch(describePatch())).toEqual({
+    expect(await instance.task.submitPatch(createPatch())).toEqual({
       status: 'unknown',
       patchId: 'patch-1',
     });
-    expect(await member.task.findPatch('patch-1', 0)).toEqual({ status: 'unknown' });
+    expect(await instance.task.findPatch('patch-1', 0)).toEqual({ status: 'unknown' });
     fleet.platform.changeFaults({ outage: false });
-    expect(await member.task.findPatch('patch-1', 0)).toMatchObject({
+    expect(await instance.task.findPatch('patch-1', 0)).toMatchObject({
       status: 'accepted',
       patch: { number: 1 },
     });
-    expect(await member.task.findPatch('other', 0)).toEqual({
+    expect(await instance.task.findPatch('other', 0)).toEqual({
       status: 'refused',
       presentNumber: 1,
     });
@@ -140,34 +143,34 @@
   // Guards against an outcome that stays unknown although a peer has the configuration with the
   // patch.
   it('is settled by the configuration of a peer when the instance cannot reach the platform', async () => {
-    let isCut = false;
+    let isPartitioned = false;
     const wrapPlatform = (platform: PlatformClient): PlatformClient => ({
-      ...withPartition(platform, () => isCut),
+      ...withPartition(platform, () => isPartitioned),
       putObject: async (update) => {
-        isCut = true;
+        isPartitioned = true;
         await platform.putObject(update);
         throw new PlatformUnavailableError('lost', { mayHaveApplied: true });
       },
     });
-    const member = await fleet.add({ name: 'p1', wrapPlatform });
+    const instance = await fleet.add({ name: 'p1', wrapPlatform });
     await fleet.add({ name: 'p2' });
     await waitForInstances(2);
-    const { status } = await member.task.submitPatch(describePatch());
+    const { status } = await instance.task.submitPatch(createPatch());
     expect(['unknown', 'accepted']).toContain(status);
     await expect
-      .poll(() => member.task.findPatch('patch-1', 0), POLL_OPTIONS)
+      .poll(() => instance.task.findPatch('patch-1', 0), POLL_OPTIONS)
       .toMatchObject({ status: 'accepted' });
   });
 
   it('is unknown when the platform was down from the start, and pending after the outage', async () => {
-    const member = await fleet.add({ name: 'p1', isStarted: false });
+    const instance = await fleet.add({ name: 'p1', isStarted: false });
     fleet.platform.changeFaults({ outage: true });
-    expect(await member.task.submitPatch(describePatch())).toEqual({
+    expect(await instance.task.submitPatch(createPatch())).toEqual({
       status: 'unknown',
       patchId: 'patch-1',
     });
     fleet.platform.changeFaults({ outage: false });
-    expect(await member.task.findPatch('patch-1')).toEqual({
+    expect(await instance.task.findPatch('patch-1')).toEqual({
       status: 'pending',
       presentNumber: 0,
     });
@@ -175,12 +178,12 @@
 
   // Guards against applying only the valid changes of a patch.
   it('is rejected completely, with every fault, when it does not pass the schema', async () => {
-    const member = await fleet.add({ name: 'p1' });
+    const instance = await fleet.add({ name: 'p1' });
     const changes = {
       kinds: { history: { maximumStalenessMilliseconds: 5_000 }, urgent: { priority: 11 } },
       callers: { office: { passwordHash: 'x', groups: [] } },
     };
-    const outcome = await member.task.submitPatch(describePatch({ changes }));
+    const outcome = await instance.task.submitPatch(createPatch({ changes }));
     expect(outcome).toMatchObject({ status: 'invalid' });
     const paths = outcome.status === 'invalid' ? outcome.faults.map(({ path }) => path) : [];
     expect(paths.sort()).toEqual([
@@ -197,7 +200,7 @@
   // have the configuration.
   it('comes from a peer when the platform is down at the start', async () => {
     const old = await fleet.add({ name: 'p1' });
-    await old.task.submitPatch(describePatch());
+    await old.task.submitPatch(createPatch());
     await waitForNumber(1);
     fleet.platform.changeFaults({ outage: true });
     const seeds = ['127.0.0.1:1', old.peerAddress];
@@ -206,30 +209,30 @@
     await expect.poll(() => fresh.instances().length, POLL_OPTIONS).toBe(2);
     fleet.platform.changeFaults({ outage: false });
     await waitForInstances(2);
-    await old.task.submitPatch(describePatch({ patchId: 'patch-2', againstNumber: 1 }));
+    await old.task.submitPatch(createPatch({ patchId: 'patch-2', againstNumber: 1 }));
     await waitForNumber(2);
   });
 
   // Guards against a delayed announcement of an older number that reverts an accepted patch.
   it('is not replaced by a delayed lower number', async () => {
-    const member = await fleet.add({ name: 'p1' });
-    await member.task.submitPatch(describePatch());
-    const late = member.task.current();
-    await member.task.submitPatch(describePatch({ patchId: 'patch-2', againstNumber: 1 }));
-    expect(member.task.peerHandlers.onConfigurationAnnounced(late)).toBe(2);
-    expect(member.task.current()).toMatchObject({ number: 2 });
-    expect(member.adoptedNumbers).toEqual([1, 2]);
+    const instance = await fleet.add({ name: 'p1' });
+    await instance.task.submitPatch(createPatch());
+    const late = instance.task.current();
+    await instance.task.submitPatch(createPatch({ patchId: 'patch-2', againstNumber: 1 }));
+    expect(instance.task.peerHandlers.onConfigurationAnnounced(late)).toBe(2);
+    expect(instance.task.current()).toMatchObject({ number: 2 });
+    expect(instance.adoptedNumbers).toEqual([1, 2]);
   });
 
   it('does not change when an invalid object is written at the platform', async () => {
-    const member = await fleet.add({ name: 'p1' });
-    await member.task.submitPatch(describePatch());
+    const instance = await fleet.add({ name: 'p1' });
+    await instance.task.submitPatch(createPatch());
     const update = { ...CONFIGURATION_OBJECT, expectedVersion: 1, value: { number: 2 } };
     await fleet.client.putObject(update);
     const isRefused = (): boolean =>
-      member.records.some(({ name }) => name === 'configurationRefused');
+      instance.events.some(({ name }) => name === 'configurationRefused');
     await expect.poll(isRefused, POLL_OPTIONS).toBe(true);
-    expect(member.task.current()).toMatchObject({ number: 1 });
+    expect(instance.task.current()).toMatchObject({ number: 1 });
   });
 
   // Guards against an instance that keeps an old configuration after a lost announcement.
@@ -240,14 +243,14 @@
     });
     for (const name of ['p1', 'p2', 'p3', 'p4']) await fleet.add({ name, wrapPeers: lossy });
     await waitForInstances(4);
-    await fleet.members[0]!.task.submitPatch(describePatch());
+    await fleet.instances[0]!.task.submitPatch(createPatch());
     await waitForNumber(1);
   });
 
   // Guards against instances that keep polling watchers which have lost the platform: answers
-  // beyond the age limit must be ignored.
+  // beyond the age limit must not count as up to date.
   it('reaches a data centre whose watchers cannot reach the platform', async () => {
-    let isCut = false;
+    let isPartitioned = false;
     let farAddress = '';
     const roles = new Map<string, () => boolean>();
     const wrapPeers = (peers: PeerClient): PeerClient => ({
@@ -258,24 +261,24 @@
           : peers.fetchConfiguration(address, number),
     });
     const addNear = async (name: string): Promise<void> => {
-      const isPartitionedWatcher = (): boolean => isCut && roles.get(name)!();
+      const isPartitionedWatcher = (): boolean => isPartitioned && roles.get(name)!();
       const wrapPlatform = (platform: PlatformClient): PlatformClient =>
         withPartition(platform, isPartitionedWatcher);
-      const member = await fleet.add({ name, wrapPlatform, wrapPeers });
-      roles.set(name, () => isWatcher(member));
+      const instance = await fleet.add({ name, wrapPlatform, wrapPeers });
+      roles.set(name, () => isWatcher(instance));
     };
     for (const name of ['p1', 'p2', 'p3', 'p4']) await addNear(name);
     await waitForInstances(4);
-    const count = (): number => fleet.members.filter(isWatcher).length;
+    const count = (): number => fleet.instances.filter(isWatcher).length;
     await expect.poll(count, POLL_OPTIONS).toBe(2);
-    isCut = true;
+    isPartitioned = true;
     const far = await fleet.add({
       name: 'p5',
       dataCentre: 'mestre-dc',
       wrapPeers: withoutAnnouncements,
     });
     farAddress = far.peerAddress;
-    await far.task.submitPatch(describePatch());
+    await far.task.submitPatch(createPatch());
     await waitForNumber(1);
   });
 
@@ -289,8 +292,8 @@
       fleet.add({ name, wrapPeers: (peers) => countQueries(peers, name, queryCounts) });
     for (const name of ['p1', 'p2', 'p3', 'p4', 'p5']) await add(name);
     await waitForInstances(5);
-    await expect.poll(() => fleet.members.filter(isWatcher).length, POLL_OPTIONS).toBe(2);
-    const others = fleet.members.filter((member) => !isWatcher(member));
+    await expect.poll(() => fleet.instances.filter(isWatcher).length, POLL_OPTIONS).toBe(2);
+    const others = fleet.instances.filter((instance) => !isWatcher(instance));
     const waitForQueries = async (count: number): Promise<void> => {
       queryCounts.clear();
       const hasQueried = ({ name }: FleetInstance): boolean =>
@@ -306,15 +309,15 @@
   it('survives a platform outage and a slow platform', async () => {
     const [first] = await addSevenInstances(fleet);
     await waitForInstances(7);
-    await first!.task.submitPatch(describePatch());
+    await first!.task.submitPatch(createPatch());
     await waitForNumber(1);
     fleet.platform.changeFaults({ outage: true });
-    const hasLostPlatform = ({ records }: FleetInstance): boolean =>
-      records.some(({ name }) => name === 'platformUnavailable');
-    await expect.poll(() => fleet.members.some(hasLostPlatform), POLL_OPTIONS).toBe(true);
+    const hasLostPlatform = ({ events }: FleetInstance): boolean =>
+      events.some(({ name }) => name === 'platformUnavailable');
+    await expect.poll(() => fleet.instances.some(hasLostPlatform), POLL_OPTIONS).toBe(true);
     expect(first!.task.current()).toMatchObject({ number: 1 });
     fleet.platform.changeFaults({ outage: false, delayMilliseconds: 200 });
-    const next = describePatch({ patchId: 'patch-2', againstNumber: 1 });
+    const next = createPatch({ patchId: 'patch-2', againstNumber: 1 });
     expect(await first!.task.submitPatch(next)).toEqual({ status: 'accepted', number: 2 });
     await waitForNumber(2);
     expectNoReversal();
@@ -322,8 +325,8 @@
 });
 
 /** Whether the last recorded role of an instance is watcher. */
-function isWatcher({ records }: FleetInstance): boolean {
-  const change = records.findLast(({ name }) => name === 'watchRoleChanged');
+function isWatcher({ events }: FleetInstance): boolean {
+  const change = events.findLast(({ name }) => name === 'watchRoleChanged');
   return change?.name === 'watchRoleChanged' ? change.isWatcher : true;
 }
 
@@ -353,9 +356,11 @@
   it('are only itself while the list lags, and all when it has caught up', async () => {
     fleet.platform.changeFaults({ instanceLagMilliseconds: 600_000 });
     const [first] = await addSevenInstances(fleet);
-    await first!.task.submitPatch(describePatch());
+    await first!.task.submitPatch(createPatch());
     await waitForNumber(1);
-    expect(fleet.members.map(({ instances }) => instances().length)).toEqual([1, 1, 1, 1, 1, 1, 1]);
+    expect(fleet.instances.map(({ instances }) => instances().length)).toEqual([
+      1, 1, 1, 1, 1, 1, 1,
+    ]);
     fleet.platform.changeFaults({ instanceLagMilliseconds: 0 });
     await waitForInstances(7);
   });
@@ -367,12 +372,12 @@
     await waitForInstances(7);
     fleet.platform.changeFaults({ instanceLagMilliseconds: 600_000 });
     await first!.task.announceLeaving();
-    const stateAtSecond = (): string | undefined =>
+    const getStateAtSecond = (): string | undefined =>
       second!.instances().find(({ name }) => name === 'p1')?.state;
-    expect(stateAtSecond()).toBe('leaving');
+    expect(getStateAtSecond()).toBe('leaving');
     await first!.stop();
     fleet.platform.changeFaults({ instanceLagMilliseconds: 0 });
-    await waitForInstances(6, fleet.members.slice(1));
+    await waitForInstances(6, fleet.instances.slice(1));
   });
 });
 
@@ -380,7 +385,7 @@
   const published = { group: 'archivio-1', term: 4, primary: 'a2' };
   const KEY = { kind: GROUP_OBJECT_KIND, name: 'archivio-1' };
 
-  async function primaryAtPlatform(): Promise<unknown> {
+  async function fetchPublishedPrimary(): Promise<unknown> {
     const object = await fleet.client.getObject(KEY);
     return object?.value;
   }
@@ -394,21 +399,23 @@
     await first!.task.publishPrimary({ ...published, promotedBy: 'p1' });
     expect(others.map(({ primaries }) => primaries)).toEqual(others.map(() => [published]));
     fleet.platform.changeFaults({ outage: false });
-    await expect.poll(primaryAtPlatform, POLL_OPTIONS).toEqual({ ...published, promotedBy: 'p1' });
+    await expect
+      .poll(fetchPublishedPrimary, POLL_OPTIONS)
+      .toEqual({ ...published, promotedBy: 'p1' });
   });
 
   // Guards against a delayed publication of an older term that overwrites a newer primary.
   it('does not replace one with a higher term', async () => {
-    const member = await fleet.add({ name: 'p1' });
+    const instance = await fleet.add({ name: 'p1' });
     const newer = { ...published, term: 5, primary: 'a3', promotedBy: 'p2' };
     await fleet.client.putObject({ ...KEY, expectedVersion: 0, value: newer });
     const { getObject } = fleet.platform.calls();
-    await member.task.publishPrimary({ ...published, promotedBy: 'p1' });
+    await instance.task.publishPrimary({ ...published, promotedBy: 'p1' });
     await expect
       .poll(() => fleet.platform.calls().getObject, POLL_OPTIONS)
       .toBeGreaterThan(getObject);
-    await member.task.publishPrimary({ ...published, term: 6, promotedBy: 'p1' });
-    await expect.poll(primaryAtPlatform, POLL_OPTIONS).toMatchObject({ term: 6 });
+    await instance.task.publishPrimary({ ...published, term: 6, promotedBy: 'p1' });
+    await expect.poll(fetchPublishedPrimary, POLL_OPTIONS).toMatchObject({ term: 6 });
     expect(await fleet.client.getObject(KEY)).toMatchObject({ version: 2 });
   });
 });
