--- a/packages/proxy/src/lib/statements/caller/callerErrors.ts
+++ b/packages/proxy/src/lib/statements/caller/callerErrors.ts
@@ -8,7 +8,8 @@
  * - `unknown` (9102): the request may or may not have run.
  * - `discarded` (9103): the request has no effect; anything it did was rolled back.
  *
- * All other errors are sent before the request reaches a database.
+ * The other codes refuse a login or a command before a request is submitted, or close a connection.
+ * `unknownStatement` is also sent for a prepare answer that was not requested.
  *
  * @public
  */
@@ -83,7 +84,7 @@
   discarded: () => 'Discarded: nothing of it remains',
 };
 
-/** Creates the error for a request that did not get an answer from a database. @internal */
+/** Creates the error for a request whose outcome is not `done`. @internal */
 export function createOutcomeError(outcome: FailedOutcome): SqlError {
   const formatOutcome = textByStatus[outcome.status] as (outcome: FailedOutcome) => string;
   const retry = `retry after ${outcome.retryAfterMilliseconds} ms`;
--- a/packages/proxy/src/lib/statements/caller/callerPreparedStatements.ts
+++ b/packages/proxy/src/lib/statements/caller/callerPreparedStatements.ts
@@ -30,13 +30,13 @@
 const STATEMENT_ID_OFFSET_BYTES = 1;
 const PARAMETER_COUNT_OFFSET_BYTES = 7;
 
-/** For statements that the proxy answers itself: no parameters, no column definitions. */
+/** Description of all other statements: no parameters, no columns. */
 const EMPTY_DESCRIPTION: PreparedDescription = {
   header: Buffer.alloc(12),
   definitions: Buffer.alloc(0),
 };
 
-/** Types of statements that are prepared at a database; the proxy answers the others itself. */
+/** Types of statements whose description is requested from a database. */
 const typesDescribedByDatabase: ReadonlySet<string> = new Set([
   'read',
   'lockingRead',
--- a/packages/proxy/src/lib/statements/caller/callerRequests.ts
+++ b/packages/proxy/src/lib/statements/caller/callerRequests.ts
@@ -31,20 +31,25 @@
 export interface CallerRequests {
   readonly isBusy: boolean;
   /**
-   * Submits a statement to the group's engine.
+   * Submits a statement to the group's engine. If no group is selected, sends an error to the caller.
    *
    * @throws InvalidTokenError, InvalidSessionVariableError, TruncatedExecuteError before anything is
    * sent.
    */
   submit: (submission: Submission) => void;
-  /** Submits a statement to the connection of an open transaction, bypassing the engine. */
+  /**
+   * Submits a statement to the connection of an open transaction, bypassing the engine.
+   *
+   * @throws InvalidTokenError, InvalidSessionVariableError, TruncatedExecuteError before anything is
+   * sent.
+   */
   submitInTransaction: (submission: TransactionSubmission) => void;
   /** Sends the database's answer, or an error of the proxy, to the caller. */
   sendAnswer: (finished: FinishedRequest) => void;
-  /** Reports the current request as ended; needed only if `sendAnswer` is not called. */
+  /** Reports the outcome and latency of the current request; `sendAnswer` does so itself. */
   observe: (status: Outcome['status']) => void;
-  /** Call after the answer has been sent. */
-  clear: () => void;
+  /** Forgets the current request; call after its answer has been sent. */
+  clearCurrent: () => void;
   /** Cancels the current request because the caller has disconnected. */
   cancel: () => void;
   onDrain: () => void;
@@ -74,7 +79,10 @@
   findGroup: (group: string) => GroupServices | undefined;
   clock: () => number;
   observe: (observation: RequestObservation) => void;
-  /** The upstream connection of an open transaction closed while no statement ran on it. */
+  /**
+   * Called when an open transaction was ended while no statement of it ran: its upstream connection
+   * closed, or it was idle for too long.
+   */
   onTransactionLost: (transactionId: string) => void;
 }
 
@@ -236,6 +244,7 @@
     submitInTransaction: ({ received, transaction, onFinished }) => {
       const { id, services } = transaction;
       const group = callerSession.group ?? '';
+      // The engine does not see this request; its access is reported only in metrics.
       const request = createRequest('transaction', received.statement, group);
       const { requestId, deadlineAt } = request;
       const statement = {
@@ -271,7 +280,7 @@
       handle(answer.final, answer);
     },
     observe,
-    clear: () => {
+    clearCurrent: () => {
       current = undefined;
     },
     cancel: () => {
--- a/packages/proxy/src/lib/statements/caller/callerSession.ts
+++ b/packages/proxy/src/lib/statements/caller/callerSession.ts
@@ -24,8 +24,9 @@
   /** @returns the error if the caller may not use the group. */
   useGroup: (name: string) => SqlError | undefined;
   /**
-   * @returns the error of the first assignment that is not supported; none is applied then.
-   * @throws InvalidTokenError, InvalidSessionVariableError
+   * @returns the error of the first unsupported assignment to a MySQL variable; no assignment is
+   * applied then.
+   * @throws InvalidTokenError, InvalidSessionVariableError; earlier assignments stay applied.
    */
   setVariables: (assignments: Assignment[]) => SqlError | undefined;
   /** @returns the values of the columns, or an error for the first unknown variable. */
--- a/packages/proxy/src/lib/statements/caller/callerTask.ts
+++ b/packages/proxy/src/lib/statements/caller/callerTask.ts
@@ -15,7 +15,7 @@
 import type {
   GroupServices,
   RequestObservation,
-  GracefulClose,
+  GracefulCloseOptions,
   ReceivedStatement,
 } from './callerTypes';
 import { TruncatedExecuteError } from './preparedStatements';
@@ -36,8 +36,11 @@
 export interface CallerTask {
   readonly caller: string;
   readonly group: string | undefined;
-  /** Closes the connection once no request is in flight and no transaction is open. */
-  closeGracefully: (gracefulClose: GracefulClose) => void;
+  /**
+   * Closes the connection when it is idle, with no transaction active: at once if the grace period is
+   * 0, otherwise after `IDLE_CLOSE_DELAY_MILLISECONDS`.
+   */
+  closeGracefully: (gracefulClose: GracefulCloseOptions) => void;
   destroy: () => void;
 }
 
@@ -52,7 +55,7 @@
   [Type in CallerCommand['type']]: (command: Extract<CallerCommand, { type: Type }>) => void;
 };
 
-/** How long a connection must be idle before a graceful close ends it. */
+/** How long a connection must be idle before a graceful close ends it, unless the grace period is 0. */
 const IDLE_CLOSE_DELAY_MILLISECONDS = 100;
 
 const IMPLICIT_COMMIT_ERROR = createCallerError(
@@ -70,7 +73,7 @@
 export function createCallerTask(options: CallerTaskOptions): CallerTask {
   const { connection, login, getConfiguration, clock, maximumPacketBytes } = options;
   const { caller } = login;
-  let pendingClose: (GracefulClose & { graceEndsAt: number }) | undefined;
+  let pendingClose: (GracefulCloseOptions & { graceEndsAt: number }) | undefined;
   let idleTimer: NodeJS.Timeout | undefined;
 
   const callerSession = createCallerSession({
@@ -217,13 +220,13 @@
   }
 
   function onAnswered(): void {
-    requests.clear();
+    requests.clearCurrent();
     closeIfIdle();
   }
 
   /**
-   * Delays the close because a request may still be in transit: if the connection broke then, the
-   * caller could not tell whether the request had run.
+   * With a grace period, delays the close because a request may still be in transit: if the connection
+   * broke then, the caller could not tell whether the request had run.
    */
   function closeIfIdle(): void {
     if (!pendingClose || requests.isBusy || transaction.isActive) return;
@@ -247,15 +250,15 @@
     get group() {
       return callerSession.group;
     },
-    closeGracefully: (wanted) => {
-      pendingClose ??= { ...wanted, graceEndsAt: clock() + wanted.graceMilliseconds };
+    closeGracefully: (gracefulClose) => {
+      pendingClose ??= { ...gracefulClose, graceEndsAt: clock() + gracefulClose.graceMilliseconds };
       closeIfIdle();
     },
     destroy: () => connection.destroy(),
   };
 }
 
-/** Converts errors of sessions and prepared statements to protocol errors. */
+/** Converts errors of sessions and prepared statements to protocol errors. Rethrows any other error. */
 function toSqlError(error: unknown): SqlError {
   if (error instanceof InvalidTokenError) {
     return createCallerError('wrongValue', `Wrong wisterialift_token: ${error.message}`);
--- a/packages/proxy/src/lib/statements/caller/callerTransaction.ts
+++ b/packages/proxy/src/lib/statements/caller/callerTransaction.ts
@@ -8,14 +8,14 @@
 export interface CallerTransaction {
   /** Whether the transaction is open at the database. */
   readonly isOpen: boolean;
-  /** Whether it is open, or was rolled back and the caller has not ended it yet. */
+  /** Whether it is open, or has ended and the caller has not sent COMMIT or ROLLBACK yet. */
   readonly isActive: boolean;
   begin: (received: ReceivedStatement) => void;
   /** Runs a statement in the transaction; requires `isActive`. */
   run: (received: ReceivedStatement) => void;
   commit: (received: ReceivedStatement) => void;
   rollback: (received: ReceivedStatement) => void;
-  /** The transaction's upstream connection closed while no statement ran on it. */
+  /** Call when the group task has ended the transaction while no statement of it ran. */
   onLost: (transactionId: string) => void;
   /** Rolls the transaction back because the caller disconnected or reset the connection. */
   discard: () => void;
@@ -23,8 +23,8 @@
 
 interface Transaction extends TransactionReference {
   /**
-   * `discarded` after the database has rolled the transaction back. Further statements are refused
-   * until the caller ends it; otherwise each would be committed on its own.
+   * `discarded` once the transaction has ended without COMMIT or ROLLBACK of the caller. Further
+   * statements are refused until the caller ends it; otherwise each would be committed on its own.
    */
   status: 'open' | 'discarded';
 }
@@ -51,7 +51,11 @@
   const { requests, answers } = options;
   let transaction: Transaction | undefined;
 
-  /** @param isClean - whether the database has ended the transaction, so its connection can be reused. */
+  /**
+   * Does not affect the upstream connection if the group task has already ended the transaction.
+   *
+   * @param isClean - whether the database has ended the transaction, so its connection can be reused.
+   */
   function end(isClean: boolean): void {
     if (transaction) release(transaction, isClean);
     transaction = undefined;
@@ -62,7 +66,8 @@
   }
 
   function onStatementFinished(finished: FinishedRequest): void {
-    if (transaction && isRolledBack(finished)) {
+    if (transaction && hasEndedTransaction(finished)) {
+      // Has no effect if the outcome is not `done`, since the group task has then ended the transaction.
       release(transaction, true);
       transaction.status = 'discarded';
     }
@@ -114,6 +119,8 @@
         received,
         transaction,
         onFinished: (finished) => {
+          // Closes the connection only if COMMIT was not attempted; otherwise the group task has ended
+          // the transaction.
           end(false);
           requests.sendAnswer({ ...finished, outcome: toCommitOutcome(finished.outcome) });
         },
@@ -144,8 +151,8 @@
   };
 }
 
-/** Whether a statement has ended with the rollback of its whole transaction. */
-function isRolledBack({ outcome, answer }: FinishedRequest): boolean {
+/** Whether the transaction has ended with the statement: rolled back, lost or committed implicitly. */
+function hasEndedTransaction({ outcome, answer }: FinishedRequest): boolean {
   if (outcome.status !== 'done') return true;
   const final = answer?.final;
   return final?.type === 'error' && final.error.state.startsWith(ROLLBACK_SQLSTATE_CLASS);
--- a/packages/proxy/src/lib/statements/caller/callerTypes.ts
+++ b/packages/proxy/src/lib/statements/caller/callerTypes.ts
@@ -29,7 +29,7 @@
   isBinary: boolean;
 }
 
-/** A request with its final answer. @internal */
+/** The result of a request. @internal */
 export interface FinishedRequest {
   requestId: string;
   outcome: Outcome;
@@ -37,10 +37,13 @@
   answer: CompletedAnswer | undefined;
 }
 
-/** Options of a graceful close. @internal */
-export interface GracefulClose {
+/** @internal */
+export interface GracefulCloseOptions {
   /** Error that the caller receives when the connection closes. */
   reason: SqlError;
-  /** How long new requests are still served, in milliseconds. */
+  /**
+   * Time after which the next command outside a transaction closes the connection instead of being
+   * run. If 0, an idle connection closes at once.
+   */
   graceMilliseconds: number;
 }
--- a/packages/proxy/src/lib/statements/caller/preparedDescriptionCache.ts
+++ b/packages/proxy/src/lib/statements/caller/preparedDescriptionCache.ts
@@ -4,7 +4,7 @@
 export interface PreparedDescriptionCache {
   get: (sql: string) => PreparedDescription | undefined;
   add: (sql: string, description: PreparedDescription) => void;
-  /** Call after a schema change, which may have changed the columns. */
+  /** Called when a statement that may change the schema is submitted. */
   clear: () => void;
 }
 
--- a/packages/proxy/src/lib/statements/caller/preparedStatements.ts
+++ b/packages/proxy/src/lib/statements/caller/preparedStatements.ts
@@ -62,7 +62,7 @@
 /**
  * Converts a caller's execute command to one that can run on any upstream connection.
  *
- * Callers may send parameter types only with the first execute, so they are inserted into later ones,
+ * Callers may omit the parameter types after the first execute, so they are inserted into later ones,
  * which may run on other connections.
  *
  * @throws TruncatedExecuteError if the command is too short for its parameters.
--- a/packages/proxy/src/lib/statements/callerMessages.ts
+++ b/packages/proxy/src/lib/statements/callerMessages.ts
@@ -8,7 +8,10 @@
   | { type: 'answerContinued'; requestId: string; frames: Buffer[]; nextSequence: number }
   /** The request has ended; `answer` is set only if the outcome's status is `done`. */
   | { type: 'requestAnswered'; requestId: string; outcome: Outcome; answer?: CompletedAnswer }
-  /** The upstream connection of an open transaction closed while no statement ran on it. */
+  /**
+   * An open transaction was ended while no statement of it ran: its upstream connection closed, or it
+   * was idle for too long.
+   */
   | { type: 'transactionLost'; transactionId: string };
 
 /** @internal */
--- a/packages/proxy/src/lib/statements/group/groupTask.ts
+++ b/packages/proxy/src/lib/statements/group/groupTask.ts
@@ -87,7 +87,7 @@
   const transactions = createTransactionTable({
     clock,
     release: members.release,
-    onResetAnswered: (lease) => post({ type: 'transactionReset', lease }),
+    onResetAnswered: (lease) => post({ type: 'leaseReset', lease }),
     onFinished: (transactionId) => {
       post({ type: 'engineEvent', event: { type: 'transactionFinished', transactionId } });
     },
@@ -106,13 +106,15 @@
     requestCancelled: ({ requestId }) => {
       const run = runs.get(requestId);
       if (!run) {
-        // The caller disconnected while the answer to its BEGIN was in the mailbox.
+        // The answer is already in the caller's mailbox. If the request was a BEGIN, its id is that of
+        // the transaction, which is rolled back.
         transactions.end(requestId, false);
         return;
       }
       runs.delete(requestId);
       handleEvent({ type: 'requestCancelled', requestId });
-      // The engine does not track statements in a transaction.
+      // The run is no longer in `runs`, so `abandonStatement` does not find it; and the engine does not
+      // know statements in a transaction.
       cancelAttempt(run);
     },
     transactionStatementSubmitted: ({ statement }) => runInTransaction(statement),
@@ -129,11 +131,11 @@
     leaseRefused: ({ run, attempt, failure }) => {
       if (run.attempt === attempt) finish(run, { kind: 'refused', reason: failure });
     },
-    framesArrived: ({ run, attempt, frames, next }) => {
+    framesArrived: ({ run, attempt, frames, nextSequence }) => {
       if (run.attempt !== attempt) return;
       Object.assign(run, { hasAnswerStarted: true });
       const { requestId } = run;
-      run.caller.post({ type: 'answerContinued', requestId, frames, nextSequence: next });
+      run.caller.post({ type: 'answerContinued', requestId, frames, nextSequence });
     },
     statementAnswered: ({ run, attempt, answer }) => {
       if (run.attempt === attempt) onAnswered(run, answer);
@@ -142,7 +144,7 @@
       if (run.attempt === attempt) onLost(run);
     },
     leaseClosed: ({ lease }) => transactions.onLeaseClosed(lease),
-    transactionReset: ({ lease }) => transactions.onReset(lease),
+    leaseReset: ({ lease }) => transactions.onLeaseReset(lease),
     upstreamGroupChanged: ({ upstreamGroup }) => {
       members.update(upstreamGroup);
       handleEvent({ type: 'groupChanged', databases: upstreamGroup.databases });
@@ -252,7 +254,8 @@
       return;
     }
     lease.connection.run(run.statement, {
-      onFrames: (frames, next) => post({ type: 'framesArrived', run, attempt, frames, next }),
+      onFrames: (frames, nextSequence) =>
+        post({ type: 'framesArrived', run, attempt, frames, nextSequence }),
       onAnswered: (answer) => post({ type: 'statementAnswered', run, attempt, answer }),
       onLost: () => post({ type: 'statementLost', run, attempt }),
     });
@@ -268,7 +271,10 @@
     finish(run, { kind: 'lost', answerStarted: run.hasAnswerStarted });
   }
 
-  /** Ends an attempt: releases its connection, then reports to the engine or the caller. */
+  /**
+   * Ends an attempt: releases its connection unless a transaction holds it, then reports to the engine
+   * or the caller.
+   */
   function finish(run: StatementRun, result: StatementResult): void {
     const { lease, attempt, requestId } = run;
     clearTimeout(run.deadlineTimer);
--- a/packages/proxy/src/lib/statements/group/statementResult.ts
+++ b/packages/proxy/src/lib/statements/group/statementResult.ts
@@ -54,7 +54,7 @@
 
 /**
  * Whether a statement has committed its transaction implicitly, without confirmation by a majority.
- * Its answer then has a position, which answers before COMMIT otherwise lack.
+ * Its OK packet then has a GTID; without an implicit commit, only that of COMMIT has one.
  */
 function hasCommitted({ answer }: StatementRun): boolean {
   return answer?.final.type === 'ok' && answer.final.ok.gtid !== undefined;
--- a/packages/proxy/src/lib/statements/group/statementRun.ts
+++ b/packages/proxy/src/lib/statements/group/statementRun.ts
@@ -3,7 +3,7 @@
 import type { CallerMailbox } from '../callerMessages';
 import type { Lease } from './upstreamPool';
 
-/** A statement that a group task is running. @internal */
+/** A statement that a group task has received and not yet answered. @internal */
 export interface StatementRun {
   requestId: string;
   statement: UpstreamStatement;
@@ -12,7 +12,7 @@
   access: Access | 'statement';
   /** The transaction, if `access` is `commit` or `statement`. */
   transactionId: string | undefined;
-  /** Number of the current attempt, or 0. Messages of earlier attempts are ignored. */
+  /** Number of the current attempt, or 0 if there is none. Messages of other attempts are ignored. */
   attempt: number;
   lease: Lease | undefined;
   /** Whether part of the answer has been sent to the caller. */
@@ -28,7 +28,7 @@
   'requestId' | 'statement' | 'caller' | 'access' | 'transactionId'
 >;
 
-/** Creates a run before its first attempt. @internal */
+/** @internal */
 export function createStatementRun(options: StatementRunOptions): StatementRun {
   const { requestId, statement, caller, access, transactionId } = options;
   return {
--- a/packages/proxy/src/lib/statements/group/transactionTable.ts
+++ b/packages/proxy/src/lib/statements/group/transactionTable.ts
@@ -23,9 +23,9 @@
    */
   end: (transactionId: string | undefined, isClean: boolean) => void;
   /** Call after the connection has been reset. */
-  onReset: (lease: Lease) => void;
+  onLeaseReset: (lease: Lease) => void;
   onLeaseClosed: (lease: Lease) => void;
-  /** Ends transactions that have been idle for too long. */
+  /** Rolls back transactions that have been idle for too long and notifies their callers. */
   endIdle: () => void;
   getSize: () => number;
 }
@@ -34,7 +34,7 @@
 export interface TransactionTableOptions {
   clock: () => number;
   release: (lease: Lease) => void;
-  /** Called when a connection has been reset; must lead to a call of `onReset`. */
+  /** Called when a connection has been reset; must lead to a call of `onLeaseReset`. */
   onResetAnswered: (lease: Lease) => void;
   /** Called when the transaction's connection has been released or closed. */
   onFinished: (transactionId: string) => void;
@@ -86,7 +86,7 @@
       if (transaction) Object.assign(transaction, { isRunning, lastUsedAt: clock() });
     },
     end,
-    onReset: (lease) => {
+    onLeaseReset: (lease) => {
       const transactionId = removePendingReset(lease);
       if (transactionId === undefined) return;
       release(lease);
--- a/packages/proxy/src/lib/statements/group/upstreamMembers.ts
+++ b/packages/proxy/src/lib/statements/group/upstreamMembers.ts
@@ -36,7 +36,10 @@
 export interface UpstreamMembers {
   get: (name: string) => UpstreamMember | undefined;
   release: (lease: Lease) => void;
-  /** Applies the group's configuration; members whose address or login changed reconnect. */
+  /**
+   * Applies the group's configuration. A member whose address or account changed gets a new pool; its
+   * leased connections close when they are released.
+   */
   update: (upstreamGroup: UpstreamGroup) => void;
   /** @param getShare - returns the number of connections that this instance may have to a member. */
   sweep: (getShare: (name: string) => number) => void;
@@ -44,7 +47,7 @@
   destroy: () => void;
 }
 
-/** Creates the connection pools of the members; connections are opened on demand. @internal */
+/** Creates a set without members; `update` adds them. Connections are opened on demand. @internal */
 export function createUpstreamMembers(options: UpstreamMembersOptions): UpstreamMembers {
   const { group, clock, onLeaseClosed } = options;
   const members = new Map<string, UpstreamMember>();
@@ -79,7 +82,7 @@
     get: (name) => members.get(name),
     release: (lease) => {
       const member = members.get(lease.member);
-      // The lease belongs to a pool that has been replaced or removed.
+      // Without a lease in the pool, the connection has closed, or its pool was replaced or removed.
       if (member && member.pool.hasLease(lease)) member.pool.release(lease);
       else lease.connection.destroy();
     },
--- a/packages/proxy/src/lib/statements/groupMessages.ts
+++ b/packages/proxy/src/lib/statements/groupMessages.ts
@@ -6,7 +6,12 @@
 import type { Lease, LeaseFailure } from './group/upstreamPool';
 import type { Mailbox } from './mailbox';
 
-/** A message to a group task, from a caller task or from an upstream connection. @internal */
+/**
+ * A message to a group task, from caller tasks, upstream connections, timers or the owner of the group
+ * task.
+ *
+ * @internal
+ */
 export type GroupMessage =
   | {
       type: 'requestSubmitted';
@@ -22,11 +27,17 @@
   | { type: 'flowChanged'; requestId: string; isPaused: boolean }
   | { type: 'leaseGranted'; run: StatementRun; attempt: number; lease: Lease }
   | { type: 'leaseRefused'; run: StatementRun; attempt: number; failure: LeaseFailure }
-  | { type: 'framesArrived'; run: StatementRun; attempt: number; frames: Buffer[]; next: number }
+  | {
+      type: 'framesArrived';
+      run: StatementRun;
+      attempt: number;
+      frames: Buffer[];
+      nextSequence: number;
+    }
   | { type: 'statementAnswered'; run: StatementRun; attempt: number; answer: CompletedAnswer }
   | { type: 'statementLost'; run: StatementRun; attempt: number }
   | { type: 'leaseClosed'; lease: Lease }
-  | { type: 'transactionReset'; lease: Lease }
+  | { type: 'leaseReset'; lease: Lease }
   | { type: 'upstreamGroupChanged'; upstreamGroup: UpstreamGroup }
   | { type: 'engineEvent'; event: EngineEvent };
 
--- a/packages/proxy/src/lib/statements/statementPath.ts
+++ b/packages/proxy/src/lib/statements/statementPath.ts
@@ -15,7 +15,7 @@
 import type { Configuration, Settings } from '@wisterialift/schema';
 import { createCallerError } from './caller/callerErrors';
 import { createCallerTask, type CallerTask } from './caller/callerTask';
-import type { GroupServices, RequestObservation, GracefulClose } from './caller/callerTypes';
+import type { GroupServices, RequestObservation, GracefulCloseOptions } from './caller/callerTypes';
 import { createGroupTask, type GroupTask } from './group/groupTask';
 import { checkGroup, checkLogin, findCaller } from './caller/loginCheck';
 import { createPreparedDescriptionCache } from './caller/preparedDescriptionCache';
@@ -79,7 +79,10 @@
    * transactions have ended. Resolves when all are closed or after `limits.drainMilliseconds`.
    */
   drain: () => Promise<void>;
-  /** Closes all connections immediately. */
+  /**
+   * Stops accepting callers, closes their connections without waiting for requests, then stops the
+   * groups.
+   */
   stop: () => Promise<void>;
 }
 
@@ -93,7 +96,7 @@
 );
 
 /** Callers that keep sending statements during a shutdown are still served for this long. */
-const DRAINING_CLOSE: GracefulClose = { reason: STOPPING_ERROR, graceMilliseconds: 1_000 };
+const DRAINING_CLOSE: GracefulCloseOptions = { reason: STOPPING_ERROR, graceMilliseconds: 1_000 };
 
 const POLL_INTERVAL_MILLISECONDS = 20;
 
@@ -173,7 +176,10 @@
     task.mailbox.post({ type: 'engineEvent', event: { type: 'instancesChanged', liveInstances } });
   }
 
-  /** Stops the task of a group after its open requests and transactions have ended. */
+  /**
+   * Stops the task of a group after its open requests and transactions have ended, or after
+   * `limits.drainMilliseconds`.
+   */
   function removeGroup(group: string, { task }: RunningGroup): void {
     groups.delete(group);
     removedGroups.add(task);
--- a/packages/proxy/src/test/statements.test.ts
+++ b/packages/proxy/src/test/statements.test.ts
@@ -43,7 +43,7 @@
   },
 };
 
-/** A read that exceeds its deadline fails, so the deadline must hold on a heavily loaded machine. */
+/** With the default deadline, reads could fail on a heavily loaded machine. */
 const LONG_DEADLINE_KINDS = { default: { deadlineMilliseconds: 600_000 } };
 
 describe.each(Object.keys(drivers))('statements of %s', (name) => {
--- a/packages/proxy/src/test/statementsFailures.test.ts
+++ b/packages/proxy/src/test/statementsFailures.test.ts
@@ -69,7 +69,8 @@
 });
 
 describe('an invalid packet', () => {
-  // Guards against running garbage as statements and against buffering a packet of any announced size.
+  // Guards against running garbage as statements and against buffering as many bytes as a packet header
+  // announces.
   it.each([
     ['garbage instead of a login', Buffer.alloc(3_000, 0xff), 1153],
     [
@@ -139,8 +140,8 @@
     (await Promise.all(queries)).forEach(({ rows, value }) => expect(rows).toEqual([{ value }]));
   });
 
-  // If the connection were reused, its next caller would receive the late answer.
-  it('that arrive after the deadline do not reach another caller', async () => {
+  // If the upstream connection were reused, its next statement would receive the late answer.
+  it('that arrive after the deadline do not reach a later statement', async () => {
     const { connect, setFaultsOnAllMembers, path } = await startStatementPath({
       kinds: { short: { deadlineMilliseconds: 150 } },
     });
@@ -205,6 +206,7 @@
     for await (const row of rows) {
       if ((row as { text: string }).text.length === 200) received += 1;
     }
+    // The first row may have been consumed by the 'data' listener.
     expect(received).toBeGreaterThanOrEqual(rowCount - 1);
   });
 });
@@ -246,7 +248,7 @@
   });
 
   // Otherwise later statements would be committed without the part that was rolled back.
-  it('that lost its connection refuses statements until its caller ends it', async () => {
+  it('whose statement exceeded its deadline refuses statements until its caller ends it', async () => {
     const { connect, setFaults, readRows } = await startStatementPath({
       kinds: { short: { deadlineMilliseconds: 150 } },
     });
