--- a/packages/platform/src/lib/errors/platformUnavailableError.ts
+++ b/packages/platform/src/lib/errors/platformUnavailableError.ts
@@ -1,10 +1,15 @@
 import { PlatformError } from './platformError';
 
-/** The platform did not respond in time, or responded with 5xx or 429. @public */
+/**
+ * The platform could not be reached, did not respond in time, or responded with 5xx or 429; or the call
+ * was aborted.
+ *
+ * @public
+ */
 export class PlatformUnavailableError extends PlatformError {
   /**
-   * Whether the request may take effect, now or later. False if no connection was established or the
-   * platform rejected the request.
+   * Whether an update may take effect, now or later; has no meaning for reads. False if no connection
+   * was established or the platform rejected the request.
    */
   readonly mayHaveApplied: boolean;
 
--- a/packages/platform/src/lib/platformClient.ts
+++ b/packages/platform/src/lib/platformClient.ts
@@ -38,8 +38,8 @@
 }
 
 /**
- * Client of the platform's object API. Every call throws PlatformUnavailableError if the platform is
- * unavailable and PlatformAnswerError if the response is invalid.
+ * Client of the platform's object API. Every call throws PlatformUnavailableError without a response
+ * or for 5xx and 429, and PlatformAnswerError for any other unexpected status or an invalid body.
  *
  * @public
  */
@@ -57,7 +57,7 @@
   listInstances: () => Promise<Instance[]>;
   registerInstance: (instance: Instance) => Promise<void>;
   removeInstance: (name: string) => Promise<void>;
-  /** Closes the idle connections. */
+  /** Closes all connections, including those of pending calls. */
   close: () => void;
 }
 
--- a/packages/platform/src/test/platformClient.test.ts
+++ b/packages/platform/src/test/platformClient.test.ts
@@ -113,11 +113,11 @@
 
   it('times out if the platform does not respond', async () => {
     platform.changeFaults({ delayMilliseconds: 600_000 });
-    const impatientClient = createClient({ port, timeoutMilliseconds: 50 });
-    expect(await catchError(impatientClient.getObject(KEY))).toBeInstanceOf(
+    const shortTimeoutClient = createClient({ port, timeoutMilliseconds: 50 });
+    expect(await catchError(shortTimeoutClient.getObject(KEY))).toBeInstanceOf(
       PlatformUnavailableError,
     );
-    impatientClient.close();
+    shortTimeoutClient.close();
   });
 
   // Guards against rejecting the list during an upgrade, when newer instances register more fields.
