--- a/packages/peer/src/lib/client/callPeer.ts
+++ b/packages/peer/src/lib/client/callPeer.ts
@@ -11,7 +11,7 @@
   callback: (error: ServiceError | null, answer: Answer) => void,
 ) => ClientUnaryCall;
 
-/** Status codes of failed delivery, as opposed to a rejected message. */
+/** Status codes of calls without an answer; the peer may have received the message. */
 const UNAVAILABLE_CODES = new Set([status.UNAVAILABLE, status.DEADLINE_EXCEEDED, status.CANCELLED]);
 
 /**
--- a/packages/peer/src/lib/client/peerClient.ts
+++ b/packages/peer/src/lib/client/peerClient.ts
@@ -25,8 +25,9 @@
 }
 
 /**
- * Client of other instances by `host:port`. Every call throws PeerUnavailableError without an answer
- * within the deadline and PeerAnswerError if the message is rejected or the answer is invalid.
+ * Client of other instances by `host:port`. Every call throws PeerUnavailableError if the peer cannot be
+ * reached or does not answer within the deadline, and PeerAnswerError if the message is rejected or the
+ * answer is invalid.
  *
  * @public
  */
@@ -46,7 +47,11 @@
   ping: (address: string) => Promise<PeerStatus>;
   /** Closes the connections to all other addresses. */
   retainAddresses: (addresses: readonly string[]) => void;
-  /** Reconnects with other keys. @throws PeerError if they are invalid. */
+  /**
+   * Closes the connections; later calls connect with the new keys.
+   *
+   * @throws PeerError if the keys are invalid.
+   */
   replaceKeys: (tls: PeerTls) => void;
   close: () => void;
 }
@@ -135,7 +140,7 @@
     };
   }
 
-  /** Sends the digest of the cached list, which the peer does not send again if unchanged. */
+  /** Sends the digest of the cached list; the peer omits the list if it has not changed. */
   async function fetchInstances(address: string): Promise<PeerInstances> {
     const service = getService(address);
     const cached = cachedLists.get(address);
--- a/packages/peer/src/lib/server/peerService.ts
+++ b/packages/peer/src/lib/server/peerService.ts
@@ -6,13 +6,16 @@
 import { NO_CONFIGURATION_NUMBER } from '../peerMessages';
 import type { HeldConfiguration, PeerHandlers } from '../peerMessages';
 
-/** Dispatches messages to the handlers. Repeated announcements of a configuration are not parsed. */
+/**
+ * Dispatches messages to the handlers. Announcements of a configuration that is not newer are not
+ * parsed.
+ */
 export function createPeerService(handlers: PeerHandlers): PeerServiceServer {
   const encodeList = createListEncoder();
   return {
     announceConfiguration: createUnaryHandler(({ number, configurationObjectJson }) => {
-      const heldNumber = getConfigurationNumber(handlers.onConfigurationRequested());
-      if (number <= heldNumber) return { number: heldNumber };
+      const activeNumber = getConfigurationNumber(handlers.onConfigurationRequested());
+      if (number <= activeNumber) return { number: activeNumber };
       return { number: handlers.onConfigurationAnnounced(JSON.parse(configurationObjectJson)) };
     }),
     fetchConfiguration: createUnaryHandler(({ aboveNumber }) => {
