--- a/packages/cli/src/lib/commands/settingsCommands.ts
+++ b/packages/cli/src/lib/commands/settingsCommands.ts
@@ -54,7 +54,7 @@
     return parseSettings({ file, text: await context.readFile(file) });
   } catch (error) {
     if (error instanceof SettingsError) {
-      throw new ClientError('settings', error.message, { faults: error.faults });
+      throw new ClientError('settings', error.message, { faults: error.issues });
     }
     throw new ClientError('settings', `${file}: (file): ${(error as Error).message}`);
   }
--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -11,7 +11,7 @@
   type GroupEngineOptions,
   type GroupEngineView,
   type MemberView,
-  type QuestionFailure,
+  type ControlRequestFailureReason,
   type RefusalReason,
   type StatementResult,
   type SuspicionCause,
@@ -24,7 +24,7 @@
   type QueuedRequest,
 } from './lib/admission/admissionQueue';
 export { createHeap, type Heap } from './lib/admission/heap';
-export { createServiceEstimate, type ServiceEstimate } from './lib/admission/serviceEstimate';
+export { createServiceStatistics, type ServiceStatistics } from './lib/admission/serviceStatistics';
 export {
   createRetryBudget,
   type RetryBudget,
@@ -37,10 +37,10 @@
   type ConnectionShareOptions,
 } from './lib/admission/connectionShare';
 export {
-  createRunningLimit,
-  type RunningLimit,
-  type RunningLimitOptions,
-} from './lib/admission/runningLimit';
+  createConcurrencyLimit,
+  type ConcurrencyLimit,
+  type ConcurrencyLimitOptions,
+} from './lib/admission/concurrencyLimit';
 export { classifyStatement } from './lib/session/classifyStatement';
 export { InvalidSessionVariableError, createSession, type Session } from './lib/session/session';
 export {
@@ -51,12 +51,12 @@
 } from './lib/session/sessionToken';
 export {
   type Assignment,
-  type Statement,
-  type StatementRequest,
+  type ClassifiedStatement,
+  type StatementClassification,
   type VariableColumn,
 } from './lib/session/statement';
 export { parseStatementOptions, type StatementOptions } from './lib/session/statementOptions';
-export { adoptConfiguration, type AdoptionResult } from './lib/configuration/adoptConfiguration';
+export { decideAdoption, type AdoptionResult } from './lib/configuration/decideAdoption';
 export { type ConfigurationFault } from './lib/configuration/configurationFault';
 export { EMPTY_CONFIGURATION_OBJECT } from './lib/configuration/emptyConfiguration';
 export { mergePatch, type JsonValue } from './lib/configuration/mergePatch';
@@ -74,29 +74,29 @@
   preparePatch,
   type PreparedPatch,
 } from './lib/configuration/preparePatch';
-export { settlePatch, type PatchFinding } from './lib/configuration/settlePatch';
+export { findPatchStatus, type PatchStatusResult } from './lib/configuration/findPatchStatus';
 export {
   LEAVING_OVERRIDE_MILLISECONDS,
   MISSED_LISTS_LIMIT,
   createInstanceView,
-  instancesOf,
+  listInstances,
   mergeInstanceList,
-  mergeLeaving,
-  withSelf,
+  markLeaving,
+  replaceSelf,
   type InstanceView,
   type KnownInstance,
 } from './lib/membership/instanceView';
 export { orderByRendezvous } from './lib/membership/rendezvous';
 export { WATCHERS_PER_DATA_CENTRE, chooseWatchers } from './lib/membership/watchers';
 export {
-  chooseAudience,
-  chooseSources,
+  chooseForwardingTargets,
+  orderWatchersToQuery,
   isWatcher,
   type ConfigurationSource,
-  type InstancePerspective,
-} from './lib/membership/audience';
+  type MembershipSnapshot,
+} from './lib/membership/configurationForwarding';
 export {
-  backOffMilliseconds,
-  jitterMilliseconds,
+  computeBackOffMilliseconds,
+  applyJitter,
   type BackOffTimes,
 } from './lib/membership/backOff';
--- a/packages/core/src/lib/acknowledgement/confirmationTracker.ts
+++ b/packages/core/src/lib/acknowledgement/confirmationTracker.ts
@@ -1,16 +1,16 @@
 import type { MemberStatus, Position } from '@wisterialift/schema';
-import { isInHistory } from '../engine/history';
+import { isInHistory } from '../engine/logHistory';
 import type { Member, MemberTable } from '../engine/memberTable';
 
 /** A write that the primary has completed and that is not yet acknowledged to the caller. @internal */
-export interface HeldWrite {
+export interface PendingWrite {
   requestId: string;
   /** Term of the primary that ran the write. */
   term: number;
   /** Undefined if the statement wrote no log entry. */
   position: Position | undefined;
   /** First status request sent after the write completed; earlier answers do not confirm it. */
-  firstQuestionId: number;
+  firstControlRequestId: number;
   completedAt: number;
 }
 
@@ -20,23 +20,23 @@
  *
  * @internal
  */
-export type HeldWriteOutcome = 'confirmed' | 'survived' | 'discarded';
+export type PendingWriteOutcome = 'confirmed' | 'survived' | 'discarded';
 
 /** @internal */
-export interface SettledWrite {
-  write: HeldWrite;
-  settlement: HeldWriteOutcome;
+export interface ResolvedWrite {
+  write: PendingWrite;
+  outcome: PendingWriteOutcome;
 }
 
 /** Tracks writes that wait for confirmation by a majority. @internal */
 export interface ConfirmationTracker {
-  hold: (write: HeldWrite) => void;
+  add: (write: PendingWrite) => void;
   remove: (requestId: string) => void;
   /** Removes and returns the writes whose outcome is known, in order of completion. */
-  takeSettled: () => SettledWrite[];
+  takeResolved: () => ResolvedWrite[];
   size: () => number;
   /** Returns the oldest pending write that has a log entry. */
-  oldest: () => HeldWrite | undefined;
+  findOldest: () => PendingWrite | undefined;
 }
 
 /**
@@ -50,21 +50,21 @@
  * @internal
  */
 export function createConfirmationTracker(members: MemberTable): ConfirmationTracker {
-  const pendingWrites = new Map<string, HeldWrite>();
+  const pendingWrites = new Map<string, PendingWrite>();
 
-  function takeSettled(): SettledWrite[] {
-    const settled: SettledWrite[] = [];
-    if (pendingWrites.size === 0) return settled;
+  function takeResolved(): ResolvedWrite[] {
+    const resolved: ResolvedWrite[] = [];
+    if (pendingWrites.size === 0) return resolved;
     const establishedPrimary = findEstablishedPrimary(members);
     pendingWrites.forEach((write) => {
-      const settlement = determineOutcome(write, members, establishedPrimary);
-      if (settlement) settled.push({ write, settlement });
+      const outcome = determineOutcome(write, members, establishedPrimary);
+      if (outcome) resolved.push({ write, outcome });
     });
-    settled.forEach(({ write }) => pendingWrites.delete(write.requestId));
-    return settled;
+    resolved.forEach(({ write }) => pendingWrites.delete(write.requestId));
+    return resolved;
   }
 
-  function oldest(): HeldWrite | undefined {
+  function findOldest(): PendingWrite | undefined {
     for (const write of pendingWrites.values()) {
       if (write.position) return write;
     }
@@ -72,35 +72,35 @@
   }
 
   return {
-    hold: (write) => pendingWrites.set(write.requestId, write),
+    add: (write) => pendingWrites.set(write.requestId, write),
     remove: (requestId) => pendingWrites.delete(requestId),
-    takeSettled,
+    takeResolved,
     size: () => pendingWrites.size,
-    oldest,
+    findOldest,
   };
 }
 
 function determineOutcome(
-  write: HeldWrite,
+  write: PendingWrite,
   members: MemberTable,
   establishedPrimary: MemberStatus | undefined,
-): HeldWriteOutcome | undefined {
+): PendingWriteOutcome | undefined {
   if (isConfirmed(write, members)) return 'confirmed';
   if (!establishedPrimary || establishedPrimary.currentTerm <= write.term) return undefined;
   const hasSurvived = write.position && isInHistory(write.position, establishedPrimary.termStarts);
   return hasSurvived ? 'survived' : 'discarded';
 }
 
-function isConfirmed(write: HeldWrite, members: MemberTable): boolean {
+function isConfirmed(write: PendingWrite, members: MemberTable): boolean {
   let confirmationCount = 0;
   for (const member of members.list()) {
     if (hasConfirmed(member, write)) confirmationCount += 1;
   }
-  return confirmationCount >= members.majority();
+  return confirmationCount >= members.getMajority();
 }
 
-function hasConfirmed({ status, statusQuestionId }: Member, write: HeldWrite): boolean {
-  if (!status || statusQuestionId < write.firstQuestionId) return false;
+function hasConfirmed({ status, statusControlRequestId }: Member, write: PendingWrite): boolean {
+  if (!status || statusControlRequestId < write.firstControlRequestId) return false;
   if (status.currentTerm !== write.term) return false;
   if (!write.position) return true;
   return status.logEnd.term === write.term && status.logEnd.index >= write.position.index;
@@ -111,7 +111,7 @@
  * start from another log.
  */
 function findEstablishedPrimary(members: MemberTable): MemberStatus | undefined {
-  const status = members.primary()?.status;
+  const status = members.getPrimary()?.status;
   if (!status) return undefined;
   const membersInTerm = members
     .list()
@@ -120,5 +120,5 @@
         member.status?.currentTerm === status.currentTerm &&
         member.status.logEnd.term === status.currentTerm,
     );
-  return membersInTerm.length >= members.majority() ? status : undefined;
+  return membersInTerm.length >= members.getMajority() ? status : undefined;
 }
--- a/packages/core/src/lib/admission/admissionQueue.ts
+++ b/packages/core/src/lib/admission/admissionQueue.ts
@@ -1,5 +1,5 @@
 import { createHeap } from './heap';
-import { createServiceEstimate } from './serviceEstimate';
+import { createServiceStatistics } from './serviceStatistics';
 
 /** Request properties used for scheduling; times in milliseconds. @public */
 export interface QueuedRequest {
@@ -38,7 +38,7 @@
    */
   offer: (request: T, now: number) => AdmissionResult<T>;
   /** Requeues a request that was taken but not run, ahead of its caller's requests of equal priority. */
-  putBack: (request: T) => void;
+  requeue: (request: T) => void;
   /**
    * Removes and returns the next request to run. Requests for which `isEligible` is false keep
    * their position.
@@ -52,11 +52,11 @@
    * Time in milliseconds after which `expire` removes the request with the earliest deadline; undefined
    * if empty.
    */
-  nextDeadline: () => number | undefined;
+  findNextExpiry: () => number | undefined;
   /** @param milliseconds - service time of a completed request. */
   recordCompletion: (milliseconds: number, now: number) => void;
   /** Estimated time until the queue has drained, in whole milliseconds between 10 and 5,000. */
-  retryAfter: (now: number) => number;
+  estimateRetryAfter: (now: number) => number;
 }
 
 interface Entry<T> {
@@ -106,7 +106,7 @@
 export function createAdmissionQueue<T extends QueuedRequest>({
   capacity,
 }: AdmissionQueueOptions): AdmissionQueue<T> {
-  const statistics = createServiceEstimate();
+  const statistics = createServiceStatistics();
   const entries = new Map<string, Entry<T>>();
   const callers = new Map<string, CallerQueue<T>>();
   const schedule = createHeap<CallerQueue<T>>(
@@ -192,20 +192,23 @@
     // The cap keeps new requests startable after slow completions; the estimate can only recover if
     // requests run.
     const maximumServiceTime = (deadlineAt - arrivedAt) * MAXIMUM_SERVICE_TIME_FRACTION;
-    return deadlineAt - Math.min(statistics.serviceTimeBound(), maximumServiceTime);
+    return deadlineAt - Math.min(statistics.estimateServiceTimeBound(), maximumServiceTime);
   };
 
   const estimateWait = (request: T): number => {
     const queue = callers.get(request.caller);
     if (!queue || queue.length === 0) return 0;
     const requestsAhead = (queue.length * activeWeight) / queue.weight;
-    return requestsAhead * statistics.completionInterval();
+    return requestsAhead * statistics.estimateCompletionInterval();
   };
 
   const estimateRetryAfter = (): number =>
     Math.ceil(
       Math.min(
-        Math.max(entries.size * statistics.completionInterval(), MINIMUM_RETRY_AFTER_MILLISECONDS),
+        Math.max(
+          entries.size * statistics.estimateCompletionInterval(),
+          MINIMUM_RETRY_AFTER_MILLISECONDS,
+        ),
         MAXIMUM_RETRY_AFTER_MILLISECONDS,
       ),
     );
@@ -312,7 +315,7 @@
     return entry && removeEntry(entry);
   };
 
-  const nextDeadline = () => {
+  const findNextExpiry = () => {
     popRemovedEntries(deadlines);
     const entry = deadlines.peek();
     return entry && computeLatestStart(entry.request);
@@ -320,16 +323,16 @@
 
   return {
     offer,
-    putBack: (request) => insert(request, 0),
+    requeue: (request) => insert(request, 0),
     takeNext,
     expire,
     remove,
     length: () => entries.size,
-    nextDeadline,
+    findNextExpiry,
     recordCompletion: (milliseconds, now) => {
       statistics.recordCompletion(milliseconds, now, entries.size > 0);
     },
-    retryAfter: estimateRetryAfter,
+    estimateRetryAfter,
   };
 }
 
--- a/packages/core/src/lib/admission/runningLimit.ts
+++ b/packages/core/src/lib/admission/concurrencyLimit.ts
@@ -1,5 +1,5 @@
 /** @public */
-export interface RunningLimitOptions {
+export interface ConcurrencyLimitOptions {
   /** Maximum number of concurrent statements at the database, for all instances together. */
   slots: number;
   /** Number of instances that send statements to the database. */
@@ -7,9 +7,9 @@
 }
 
 /** @public */
-export interface RunningLimit {
+export interface ConcurrencyLimit {
   /** Maximum number of concurrent statements of this instance at the database; at least 1. */
-  limit: () => number;
+  getLimit: () => number;
   /**
    * @param milliseconds - time from sending the statement to receiving the complete answer.
    * @param running - concurrent statements of this instance, including this one.
@@ -17,7 +17,7 @@
   recordCompletion: (milliseconds: number, running: number) => void;
   /** Records a statement that the database refused or lost. */
   recordFailure: () => void;
-  update: (options: RunningLimitOptions) => void;
+  update: (options: ConcurrencyLimitOptions) => void;
 }
 
 /** Above this ratio of the latency to the unloaded latency, statements queue at the database. */
@@ -37,7 +37,7 @@
  *
  * @public
  */
-export function createRunningLimit(options: RunningLimitOptions): RunningLimit {
+export function createConcurrencyLimit(options: ConcurrencyLimitOptions): ConcurrencyLimit {
   let { slots, instances } = options;
   let unloadedLatency: number | undefined;
   let averageLatency: number | undefined;
@@ -73,7 +73,7 @@
   };
 
   return {
-    limit: () => Math.max(1, Math.floor(currentLimit)),
+    getLimit: () => Math.max(1, Math.floor(currentLimit)),
     recordCompletion,
     recordFailure: () => {
       currentLimit = clamp(currentLimit * DECREASE_FACTOR);
--- a/packages/core/src/lib/admission/connectionShare.ts
+++ b/packages/core/src/lib/admission/connectionShare.ts
@@ -3,7 +3,7 @@
   /** Maximum number of connections that the database accepts from all instances together. */
   connectionLimit: number;
   /** Connections excluded from the shares, for new instances and operators. */
-  reserved: number;
+  reservedConnections: number;
   /** How long an unlisted instance still counts; at least the maximum lag of the list. */
   holdDownMilliseconds?: number;
   /** How long a new instance is limited to one connection; at least the maximum lag of the list. */
@@ -15,7 +15,7 @@
   /** @param liveInstances - names on the latest list of instances, which may be outdated. */
   update: (liveInstances: string[], self: string, now: number) => void;
   /** Maximum number of connections of this instance to the database; at least 1. */
-  share: (now: number) => number;
+  compute: (now: number) => number;
   /** Records a connection that the database refused because of its limit. */
   recordRefusal: (now: number) => void;
 }
@@ -42,12 +42,12 @@
  * @public
  */
 export function createConnectionShare(options: ConnectionShareOptions): ConnectionShare {
-  const { connectionLimit, reserved, holdDownMilliseconds, warmUpMilliseconds } = {
+  const { connectionLimit, reservedConnections, holdDownMilliseconds, warmUpMilliseconds } = {
     ...DEFAULT_CONNECTION_SHARE_TIMES,
     ...options,
   };
   const lastSeenAt = new Map<string, number>();
-  const shareableConnections = Math.max(1, connectionLimit - reserved);
+  const shareableConnections = Math.max(1, connectionLimit - reservedConnections);
   let listedNames = new Set<string>();
   let firstUpdateAt: number | undefined;
   let connectionCap: number | undefined;
@@ -70,7 +70,7 @@
     return Math.max(1, Math.floor(shareableConnections / countInstances(now)));
   };
 
-  const share = (now: number): number => {
+  const compute = (now: number): number => {
     const listShare = computeListShare(now);
     if (connectionCap === undefined) return listShare;
     const recoveringShare =
@@ -90,9 +90,9 @@
 
   const recordRefusal = (now: number) => {
     if (connectionCap !== undefined && now - cappedAt < DECREASE_COOLDOWN_MILLISECONDS) return;
-    connectionCap = Math.max(1, Math.floor(share(now) * DECREASE_FACTOR));
+    connectionCap = Math.max(1, Math.floor(compute(now) * DECREASE_FACTOR));
     cappedAt = now;
   };
 
-  return { update, share, recordRefusal };
+  return { update, compute, recordRefusal };
 }
--- a/packages/core/src/lib/admission/retryBudget.ts
+++ b/packages/core/src/lib/admission/retryBudget.ts
@@ -1,16 +1,16 @@
 /** @public */
 export interface RetryBudgetOptions {
   /** Maximum ratio of retries to first attempts, for example 0.1. */
-  share: number;
+  retryRatio: number;
   /** Retries available without traffic; replenished over ten seconds. */
   minimumTokens: number;
 }
 
 /** @public */
 export interface RetryBudget {
-  recordFirstTry: (now: number) => void;
+  recordFirstAttempt: (now: number) => void;
   /** Spends one token; returns false if the budget is exhausted. */
-  tryRetry: (now: number) => boolean;
+  trySpendRetry: (now: number) => boolean;
 }
 
 /** Time in which an empty budget refills to `minimumTokens` without traffic. */
@@ -26,8 +26,8 @@
  *
  * @public
  */
-export function createRetryBudget({ share, minimumTokens }: RetryBudgetOptions): RetryBudget {
-  const maximumTokens = minimumTokens + share * MAXIMUM_CREDITED_FIRST_ATTEMPTS;
+export function createRetryBudget({ retryRatio, minimumTokens }: RetryBudgetOptions): RetryBudget {
+  const maximumTokens = minimumTokens + retryRatio * MAXIMUM_CREDITED_FIRST_ATTEMPTS;
   let tokens = minimumTokens;
   let refilledAt: number | undefined;
 
@@ -39,11 +39,11 @@
   };
 
   return {
-    recordFirstTry: (now) => {
+    recordFirstAttempt: (now) => {
       refill(now);
-      tokens = Math.min(maximumTokens, tokens + share);
+      tokens = Math.min(maximumTokens, tokens + retryRatio);
     },
-    tryRetry: (now) => {
+    trySpendRetry: (now) => {
       refill(now);
       if (tokens < 1) return false;
       tokens -= 1;
--- a/packages/core/src/lib/admission/serviceEstimate.ts
+++ b/packages/core/src/lib/admission/serviceStatistics.ts
@@ -1,11 +1,11 @@
 /** Estimates service times and the interval between completions. @public */
-export interface ServiceEstimate {
+export interface ServiceStatistics {
   /** @param isBusy - whether requests are still queued, so that the service is saturated. */
   recordCompletion: (milliseconds: number, now: number, isBusy: boolean) => void;
   /** Upper estimate of the service time in milliseconds; 0 before the first completion. */
-  serviceTimeBound: () => number;
+  estimateServiceTimeBound: () => number;
   /** Average milliseconds between completions under saturation; 0 if unknown. */
-  completionInterval: () => number;
+  estimateCompletionInterval: () => number;
 }
 
 const SMOOTHING_FACTOR = 1 / 16;
@@ -17,7 +17,7 @@
  *
  * @public
  */
-export function createServiceEstimate(): ServiceEstimate {
+export function createServiceStatistics(): ServiceStatistics {
   let mean: number | undefined;
   let deviation = 0;
   let interval: number | undefined;
@@ -47,7 +47,7 @@
       recordServiceTime(milliseconds);
       recordInterval(now, isBusy);
     },
-    serviceTimeBound: () => (mean === undefined ? 0 : mean + BOUND_DEVIATIONS * deviation),
-    completionInterval: () => interval ?? 0,
+    estimateServiceTimeBound: () => (mean === undefined ? 0 : mean + BOUND_DEVIATIONS * deviation),
+    estimateCompletionInterval: () => interval ?? 0,
   };
 }
--- a/packages/core/src/lib/configuration/adoptConfiguration.ts
+++ b/packages/core/src/lib/configuration/decideAdoption.ts
@@ -20,7 +20,7 @@
  * @param options.candidate - received value, not yet validated.
  * @public
  */
-export function adoptConfiguration(options: {
+export function decideAdoption(options: {
   currentNumber: number | undefined;
   candidate: unknown;
 }): AdoptionResult {
--- a/packages/core/src/lib/configuration/settlePatch.ts
+++ b/packages/core/src/lib/configuration/findPatchStatus.ts
@@ -2,7 +2,7 @@
 import { findAcceptedPatch } from './preparePatch';
 
 /** Status of a submitted patch according to a configuration object. @public */
-export type PatchFinding =
+export type PatchStatusResult =
   | { status: 'accepted'; patch: AcceptedPatch }
   /** Another patch has the number after `againstNumber`; this one can no longer be applied. */
   | { status: 'refused'; presentNumber: number }
@@ -21,11 +21,11 @@
  *   patch is always `pending`.
  * @public
  */
-export function settlePatch(options: {
+export function findPatchStatus(options: {
   configurationObject: ConfigurationObject;
   patchId: string;
   againstNumber?: number;
-}): PatchFinding {
+}): PatchStatusResult {
   const { configurationObject, patchId, againstNumber } = options;
   const { number: presentNumber, patches } = configurationObject;
   const accepted = findAcceptedPatch(configurationObject, patchId);
--- a/packages/core/src/lib/configuration/patchSubmission.ts
+++ b/packages/core/src/lib/configuration/patchSubmission.ts
@@ -4,7 +4,7 @@
 import { EMPTY_CONFIGURATION_OBJECT } from './emptyConfiguration';
 import { preparePatch } from './preparePatch';
 import type { PreparedPatch } from './preparePatch';
-import { settlePatch } from './settlePatch';
+import { findPatchStatus } from './findPatchStatus';
 
 /** Outcome of a patch as reported to the operator. @public */
 export type PatchOutcome =
@@ -199,7 +199,7 @@
 function resolveOutdatedPatch(context: SubmissionContext, presentNumber: number): PatchOutcome {
   const { current, mayHaveApplied, patch } = context;
   if (!mayHaveApplied) return { status: 'outdated', presentNumber };
-  const result = settlePatch({ configurationObject: current, ...patch });
+  const result = findPatchStatus({ configurationObject: current, ...patch });
   if (result.status === 'refused') return { status: 'outdated', presentNumber };
   return { status: 'unknown', patchId: patch.patchId };
 }
--- a/packages/core/src/lib/configuration/preparePatch.ts
+++ b/packages/core/src/lib/configuration/preparePatch.ts
@@ -1,4 +1,4 @@
-import { REMEMBERED_PATCHES, configurationSchema } from '@wisterialift/schema';
+import { MAXIMUM_RETAINED_PATCHES, configurationSchema } from '@wisterialift/schema';
 import type {
   AcceptedPatch,
   Configuration,
@@ -68,7 +68,7 @@
   const { patchId, author } = patch;
   const number = current.number + 1;
   const patches = [...current.patches, { patchId, number, author, acceptedAt }];
-  return { number, configuration, patches: patches.slice(-REMEMBERED_PATCHES) };
+  return { number, configuration, patches: patches.slice(-MAXIMUM_RETAINED_PATCHES) };
 }
 
 function checkSize(configurationObject: ConfigurationObject): PreparedPatch {
--- a/packages/core/src/lib/engine/groupEngine.ts
+++ b/packages/core/src/lib/engine/groupEngine.ts
@@ -94,9 +94,9 @@
     policy,
     dataCentre,
     members,
-    places: capacity,
+    capacity,
     peekNextControlRequestId: controlRequests.peekNextId,
-    holdsWrites,
+    isBlockingWrites,
     onConfirmed,
     emit,
   });
@@ -180,7 +180,7 @@
     detector.onConfirmed(waitedMilliseconds);
   }
 
-  function holdsWrites(): boolean {
+  function isBlockingWrites(): boolean {
     return failover.isBlockingWrites();
   }
 
@@ -262,7 +262,7 @@
   }
 
   function createView(now: number): GroupEngineView {
-    const primary = members.primary();
+    const primary = members.getPrimary();
     const list = members.list();
     return {
       group,
@@ -270,7 +270,7 @@
       primary: primary?.name,
       phase: failover.getPhase(),
       queued: requests.countQueued(),
-      running: list.reduce((sum, member) => sum + capacity.running(member), 0),
+      running: list.reduce((sum, member) => sum + capacity.countRunning(member), 0),
       members: list.map((member) => createMemberView(member, primary, now)),
     };
   }
@@ -285,7 +285,7 @@
       silentMilliseconds:
         newestAnsweredRequestSentAt === undefined ? undefined : now - newestAnsweredRequestSentAt,
       connectionShare: capacity.getAllowedConnections(member),
-      running: capacity.running(member),
+      running: capacity.countRunning(member),
       isLeaving: database.leaving,
     };
   }
--- a/packages/core/src/lib/engine/history.ts
+++ b/packages/core/src/lib/engine/logHistory.ts
@@ -19,7 +19,7 @@
  *
  * @internal
  */
-export function shows({ applied, termStarts }: MemberStatus, position: Position): boolean {
+export function hasApplied({ applied, termStarts }: MemberStatus, position: Position): boolean {
   if (position.index === 0) return true;
   return applied.index >= position.index && isInHistory(position, termStarts);
 }
--- a/packages/core/src/lib/engine/memberCapacity.ts
+++ b/packages/core/src/lib/engine/memberCapacity.ts
@@ -1,6 +1,6 @@
 import type { Database } from '@wisterialift/schema';
 import { createConnectionShare } from '../admission/connectionShare';
-import { createRunningLimit } from '../admission/runningLimit';
+import { createConcurrencyLimit } from '../admission/concurrencyLimit';
 import type { Member } from './memberTable';
 
 /** Connections and running statements of this instance at one member, with their limits. */
@@ -9,18 +9,18 @@
   connections: number;
   allowedConnections: number;
   share: ReturnType<typeof createConnectionShare>;
-  limit: ReturnType<typeof createRunningLimit>;
+  limit: ReturnType<typeof createConcurrencyLimit>;
 }
 
 /** @internal */
 export interface MemberCapacity {
-  hasPlace: (member: Member) => boolean;
+  hasCapacity: (member: Member) => boolean;
   takeConnection: (member: Member) => void;
   releaseConnection: (member: Member) => void;
   startStatement: (member: Member) => void;
   finishStatement: (member: Member, milliseconds: number) => void;
   /** Number of statements of this instance running at the member. */
-  running: (member: Member) => number;
+  countRunning: (member: Member) => number;
   onConnectionRefused: (member: Member, now: number) => void;
   onDatabasesChanged: (databases: Database[]) => void;
   onInstancesChanged: (liveInstances: string[], now: number) => void;
@@ -45,13 +45,13 @@
   let slotsByMember = new Map<string, number>();
 
   function createUsage({ connectionLimit, slots }: Database): MemberUsage {
-    const reserved = Math.ceil(connectionLimit * RESERVED_FRACTION);
+    const reservedConnections = Math.ceil(connectionLimit * RESERVED_FRACTION);
     return {
       running: 0,
       connections: 0,
       allowedConnections: 1,
-      share: createConnectionShare({ connectionLimit, reserved }),
-      limit: createRunningLimit({ slots, instances: instances.length }),
+      share: createConnectionShare({ connectionLimit, reservedConnections }),
+      limit: createConcurrencyLimit({ slots, instances: instances.length }),
     };
   }
 
@@ -83,17 +83,17 @@
   }
 
   function refresh(now: number): void {
-    for (const usage of usageByMember.values()) usage.allowedConnections = usage.share.share(now);
+    for (const usage of usageByMember.values()) usage.allowedConnections = usage.share.compute(now);
   }
 
-  function hasPlace(member: Member): boolean {
+  function hasCapacity(member: Member): boolean {
     const { running, connections, allowedConnections, limit } = getUsage(member);
-    return connections < allowedConnections && running < limit.limit();
+    return connections < allowedConnections && running < limit.getLimit();
   }
 
   onDatabasesChanged(databases);
   return {
-    hasPlace,
+    hasCapacity,
     takeConnection: (member) => {
       getUsage(member).connections += 1;
     },
@@ -108,7 +108,7 @@
       usage.limit.recordCompletion(milliseconds, usage.running);
       usage.running -= 1;
     },
-    running: (member) => getUsage(member).running,
+    countRunning: (member) => getUsage(member).running,
     onConnectionRefused: (member, now) => getUsage(member).share.recordRefusal(now),
     onDatabasesChanged,
     onInstancesChanged,
--- a/packages/core/src/lib/engine/memberTable.ts
+++ b/packages/core/src/lib/engine/memberTable.ts
@@ -11,9 +11,9 @@
   /** Response to the newest answered status request. */
   status: MemberStatus | undefined;
   /** Identifier of that request; -1 before the first response. */
-  statusQuestionId: number;
+  statusControlRequestId: number;
   /** Send time of that request. */
-  statusAskedAt: number;
+  statusRequestedAt: number;
   /**
    * Send time of the newest answered request. The arrival time is unreliable, since a response can
    * wait while this process is paused.
@@ -26,7 +26,7 @@
    */
   silentSince: number;
   /** Consecutive failed requests since the start of the current silence. */
-  failedQuestions: number;
+  consecutiveFailures: number;
   /** Consecutive failed requests whose connection was refused. */
   consecutiveUnreachable: number;
   /** When its log end last changed. */
@@ -45,7 +45,7 @@
   list: () => readonly Member[];
   get: (name: string) => Member | undefined;
   /** Number of members that form a majority. */
-  majority: () => number;
+  getMajority: () => number;
   replaceDatabases: (databases: Database[], now: number) => void;
   onAnswered: (answer: StatusAnswer) => Member | undefined;
   onFailed: (failure: ControlRequestFailure) => void;
@@ -57,7 +57,7 @@
    * The member that reports itself as primary of the highest term; undefined if that term is below
    * the one recorded by a majority.
    */
-  primary: () => Member | undefined;
+  getPrimary: () => Member | undefined;
   getHighestTerm: () => number;
   /** Ignores the member's claim to be primary in responses to requests before `firstValidRequestId`. */
   rejectPrimaryClaimBefore: (name: string, firstValidRequestId: number) => void;
@@ -114,18 +114,19 @@
       sentAt,
     );
     member.silentSince = Math.max(member.silentSince, sentAt);
-    member.failedQuestions = 0;
+    member.consecutiveFailures = 0;
     member.consecutiveUnreachable = 0;
-    if (questionId < member.statusQuestionId) return member;
+    if (questionId < member.statusControlRequestId) return member;
     if (!member.status || comparePositions(member.status.logEnd, status.logEnd) !== 0) {
       member.logAdvancedAt = now;
     }
-    const wasPrimaryClaimValid = member.statusQuestionId >= member.primaryClaimValidFromRequestId;
+    const wasPrimaryClaimValid =
+      member.statusControlRequestId >= member.primaryClaimValidFromRequestId;
     const isSameTerm = member.status?.currentTerm === status.currentTerm;
     const isSameRole = member.status?.role === status.role;
     member.status = status;
-    member.statusQuestionId = questionId;
-    member.statusAskedAt = sentAt;
+    member.statusControlRequestId = questionId;
+    member.statusRequestedAt = sentAt;
     if (!wasPrimaryClaimValid || !isSameTerm || !isSameRole) refreshPrimary();
     return member;
   }
@@ -137,7 +138,7 @@
   function onFailed({ member: name, sentAt, reason }: ControlRequestFailure): void {
     const member = byName.get(name);
     if (!member || sentAt < member.silentSince) return;
-    member.failedQuestions += 1;
+    member.consecutiveFailures += 1;
     member.consecutiveUnreachable =
       reason === 'unreachable' ? member.consecutiveUnreachable + 1 : 0;
   }
@@ -145,21 +146,21 @@
   function resetSilences(now: number): void {
     const fresh = {
       silentSince: now,
-      failedQuestions: 0,
+      consecutiveFailures: 0,
       consecutiveUnreachable: 0,
       logAdvancedAt: now,
     };
     members.forEach((member) => Object.assign(member, fresh));
   }
 
-  function majority(): number {
+  function getMajority(): number {
     return Math.floor(members.length / 2) + 1;
   }
 
   function findMajorityTerm(): number | undefined {
     const terms = members.flatMap(({ status }) => (status ? [status.currentTerm] : []));
     terms.sort((left, right) => right - left);
-    return terms[majority() - 1];
+    return terms[getMajority() - 1];
   }
 
   function findPrimary(): Member | undefined {
@@ -167,8 +168,8 @@
     let best: Member | undefined;
     members.forEach((member) => {
       if (member.status?.role !== 'primary' || member.status.currentTerm < floor) return;
-      if (member.statusQuestionId < member.primaryClaimValidFromRequestId) return;
-      if (!best || member.status.currentTerm > termOf(best)) best = member;
+      if (member.statusControlRequestId < member.primaryClaimValidFromRequestId) return;
+      if (!best || member.status.currentTerm > getTerm(best)) best = member;
     });
     return best;
   }
@@ -187,31 +188,35 @@
   }
 
   function getHighestTerm(): number {
-    return Math.max(0, ...members.map(termOf));
+    return Math.max(0, ...members.map(getTerm));
   }
 
   return {
     list: () => members,
     get: (name) => byName.get(name),
-    majority,
+    getMajority,
     replaceDatabases,
     onAnswered,
     onFailed,
     resetSilences,
     getMajorityTerm: () => majorityTerm,
-    primary: () => primary,
+    getPrimary: () => primary,
     rejectPrimaryClaimBefore,
     getHighestTerm,
   };
 }
 
 /** Term that the member last reported; 0 before its first response. @internal */
-export function termOf(member: Member): number {
+export function getTerm(member: Member): number {
   return member.status?.currentTerm ?? 0;
 }
 
 /** Whether a request sent within the last `withinMilliseconds` was answered. @internal */
-export function hasAnswered(member: Member, withinMilliseconds: number, now: number): boolean {
+export function hasRespondedWithin(
+  member: Member,
+  withinMilliseconds: number,
+  now: number,
+): boolean {
   return (
     member.newestAnsweredRequestSentAt !== undefined &&
     now - member.newestAnsweredRequestSentAt <= withinMilliseconds
@@ -227,7 +232,10 @@
  * @returns undefined if fewer than `majority` log ends are given.
  * @internal
  */
-export function lowestMajorityEnd(logEnds: Position[], majority: number): Position | undefined {
+export function findLowestMajorityLogEnd(
+  logEnds: Position[],
+  majority: number,
+): Position | undefined {
   if (logEnds.length < majority) return undefined;
   return [...logEnds].sort(comparePositions)[majority - 1];
 }
@@ -241,12 +249,12 @@
     name: database.name,
     database,
     status: undefined,
-    statusQuestionId: -1,
-    statusAskedAt: Number.NEGATIVE_INFINITY,
+    statusControlRequestId: -1,
+    statusRequestedAt: Number.NEGATIVE_INFINITY,
     newestAnsweredRequestSentAt: undefined,
     smoothedRoundTripMilliseconds: 0,
     silentSince: now,
-    failedQuestions: 0,
+    consecutiveFailures: 0,
     consecutiveUnreachable: 0,
     logAdvancedAt: now,
     avoidUntil: 0,
--- a/packages/core/src/lib/engine/messages.ts
+++ b/packages/core/src/lib/engine/messages.ts
@@ -1,4 +1,4 @@
-import type { Database, MemberStatus, Outcome, Position } from '@wisterialift/schema';
+import type { Database, MemberStatus, RequestOutcome, Position } from '@wisterialift/schema';
 
 /**
  * Kind of database access that a request needs.
@@ -51,7 +51,7 @@
 export type RefusalReason = 'connectionLimit' | 'connectFailed' | 'notPrimary' | 'stopping';
 
 /** @public */
-export type QuestionFailure = 'timeout' | 'unreachable' | 'refused';
+export type ControlRequestFailureReason = 'timeout' | 'unreachable' | 'refused';
 
 /** An input of the engine. @public */
 export type EngineEvent =
@@ -62,7 +62,7 @@
   /** The transaction's upstream connection was returned or closed. */
   | { type: 'transactionFinished'; transactionId: string }
   | { type: 'statusAnswered'; questionId: number; status: MemberStatus }
-  | { type: 'questionFailed'; questionId: number; reason: QuestionFailure }
+  | { type: 'questionFailed'; questionId: number; reason: ControlRequestFailureReason }
   | { type: 'groupChanged'; databases: Database[] }
   /** Names of the live instances, including this one; the list may lag behind. */
   | { type: 'instancesChanged'; liveInstances: string[] }
@@ -81,7 +81,7 @@
    */
   | { type: 'abandonStatement'; requestId: string; attempt: number; reportsLoss?: true }
   /** Complete the request; for `done`, send the response of the last attempt to the caller. */
-  | { type: 'answerRequest'; requestId: string; outcome: Outcome }
+  | { type: 'answerRequest'; requestId: string; outcome: RequestOutcome }
   /** Request the member's status. */
   | { type: 'askStatus'; questionId: number; member: string }
   /** Make a member record `term`; it refuses unless `term` is above its recorded term. */
--- a/packages/core/src/lib/engine/probeIntervals.ts
+++ b/packages/core/src/lib/engine/probeIntervals.ts
@@ -1,4 +1,4 @@
-import { termOf } from './memberTable';
+import { getTerm } from './memberTable';
 import type { Member, MemberTable } from './memberTable';
 import type { EnginePolicy } from './messages';
 
@@ -35,9 +35,9 @@
 
   function isIdleAndHealthy(now: number): boolean {
     if (now < inUseUntil || !isSteady()) return false;
-    const primary = members.primary();
+    const primary = members.getPrimary();
     if (!primary) return false;
-    const term = termOf(primary);
+    const term = getTerm(primary);
     return members.list().every((member) => isHealthy(member, term));
   }
 
@@ -60,5 +60,5 @@
 }
 
 function isHealthy(member: Member, term: number): boolean {
-  return member.failedQuestions === 0 && termOf(member) === term && !member.database.leaving;
+  return member.consecutiveFailures === 0 && getTerm(member) === term && !member.database.leaving;
 }
--- a/packages/core/src/lib/engine/requestCompletion.ts
+++ b/packages/core/src/lib/engine/requestCompletion.ts
@@ -1,4 +1,4 @@
-import type { NotRunReason, Outcome } from '@wisterialift/schema';
+import type { NotRunReason, RequestOutcome } from '@wisterialift/schema';
 import { createDiscardedOutcome, createNotRunOutcome, createUnknownOutcome } from './outcomes';
 import { canChangeData } from './requestContext';
 import type { RequestContext } from './requestContext';
@@ -6,7 +6,7 @@
 
 /** @internal */
 export interface RequestCompletion {
-  complete: (request: TrackedRequest, outcome: Outcome) => void;
+  complete: (request: TrackedRequest, outcome: RequestOutcome) => void;
   /** Removes the request without reporting an outcome. */
   remove: (request: TrackedRequest) => void;
   reject: (request: TrackedRequest, reason: NotRunReason, now: number) => void;
@@ -32,7 +32,7 @@
     emit,
   } = context;
 
-  function complete(request: TrackedRequest, outcome: Outcome): void {
+  function complete(request: TrackedRequest, outcome: RequestOutcome): void {
     remove(request);
     emit({ type: 'answerRequest', requestId: request.requestId, outcome });
   }
@@ -67,14 +67,14 @@
     request: TrackedRequest,
     reason: 'deadline' | 'connectionLost',
     retryAfterMilliseconds: number,
-  ): Outcome {
+  ): RequestOutcome {
     if (!canChangeData(request.access)) return createDiscardedOutcome(retryAfterMilliseconds);
     const isReplaced = (members.getMajorityTerm() ?? 0) > request.term;
     return createUnknownOutcome(isReplaced ? 'primaryReplaced' : reason, retryAfterMilliseconds);
   }
 
   function computeRetryAfter(reason: NotRunReason, request: TrackedRequest, now: number): number {
-    const queueTime = getQueue(request).retryAfter(now);
+    const queueTime = getQueue(request).estimateRetryAfter(now);
     if (reason === 'noPrimary') return Math.max(queueTime, policy.suspicionMilliseconds);
     if (reason === 'noFreshMember') return Math.max(queueTime, policy.probeIntervalMilliseconds);
     return queueTime;
--- a/packages/core/src/lib/engine/requestContext.ts
+++ b/packages/core/src/lib/engine/requestContext.ts
@@ -14,9 +14,9 @@
 export interface RequestContext extends RequestContextOptions {
   requests: RequestTable;
   /** Reads waiting for a member. */
-  reads: AdmissionQueue<TrackedRequest>;
+  readQueue: AdmissionQueue<TrackedRequest>;
   /** Writes and BEGIN waiting for the primary. */
-  changes: AdmissionQueue<TrackedRequest>;
+  primaryQueue: AdmissionQueue<TrackedRequest>;
   /** Requests waiting for the floor (minimum position) of their round. */
   awaitingFloor: Set<TrackedRequest>;
   /**
@@ -39,10 +39,10 @@
   policy: EnginePolicy;
   dataCentre: string;
   members: MemberTable;
-  places: MemberCapacity;
+  capacity: MemberCapacity;
   peekNextControlRequestId: () => number;
   /** Whether writes are kept in the queue during a failover. */
-  holdsWrites: () => boolean;
+  isBlockingWrites: () => boolean;
   /** Called when a write is confirmed, with the time since its completion. */
   onConfirmed: (waitedMilliseconds: number) => void;
   emit: (effect: EngineEffect) => void;
@@ -52,7 +52,7 @@
 export function createRequestContext(options: RequestContextOptions): RequestContext {
   const { policy, members, emit } = options;
   const reads = createAdmissionQueue<TrackedRequest>({ capacity: policy.queueLength });
-  const changes = createAdmissionQueue<TrackedRequest>({ capacity: policy.queueLength });
+  const primaryQueue = createAdmissionQueue<TrackedRequest>({ capacity: policy.queueLength });
   let isDispatchPending = false;
 
   function takeDispatchPending(): boolean {
@@ -64,12 +64,12 @@
   return {
     ...options,
     requests: createRequestTable(),
-    reads,
-    changes,
+    readQueue: reads,
+    primaryQueue,
     awaitingFloor: new Set(),
     rounds: createFloorRounds(members),
     unconfirmedWrites: createConfirmationTracker(members),
-    getQueue: ({ access }) => (access === 'read' ? reads : changes),
+    getQueue: ({ access }) => (access === 'read' ? reads : primaryQueue),
     record: (record) => emit({ type: 'record', record }),
     scheduleDispatch: () => {
       isDispatchPending = true;
--- a/packages/core/src/lib/engine/requestFlow.ts
+++ b/packages/core/src/lib/engine/requestFlow.ts
@@ -1,4 +1,4 @@
-import type { HeldWrite, SettledWrite } from '../acknowledgement/confirmationTracker';
+import type { PendingWrite, ResolvedWrite } from '../acknowledgement/confirmationTracker';
 import type { ReadRoute } from '../reads/readRouter';
 import { createStalenessSamples } from '../reads/stalenessSamples';
 import { createRequestRouter } from '../routing/requestRouter';
@@ -33,7 +33,7 @@
   getStatusDemand: (now: number) => StatusDemand;
   getNextDueAt: () => number;
   /** Returns the write that has waited longest for confirmation. */
-  getOldestUnconfirmedWrite: () => HeldWrite | undefined;
+  getOldestUnconfirmedWrite: () => PendingWrite | undefined;
   /** Open transactions plus running statements at the member; a running COMMIT counts in both. */
   countInFlight: (member: string) => number;
   countQueued: () => number;
@@ -52,10 +52,10 @@
   const {
     policy,
     members,
-    places,
+    capacity,
     requests,
-    reads,
-    changes,
+    readQueue,
+    primaryQueue,
     awaitingFloor,
     rounds,
     unconfirmedWrites,
@@ -105,7 +105,7 @@
     const queue = getQueue(request);
     const offer = queue.offer(request, now);
     if (!offer.accepted) {
-      const isWithoutPrimary = request.access !== 'read' && !router.usablePrimary(now);
+      const isWithoutPrimary = request.access !== 'read' && !router.findUsablePrimary(now);
       reject(request, isWithoutPrimary ? 'noPrimary' : 'overloaded', now);
       return;
     }
@@ -132,11 +132,11 @@
   }
 
   function dispatchReads(now: number): void {
-    while (reads.length() > 0) {
-      const candidates = router.readCandidates(now);
+    while (readQueue.length() > 0) {
+      const candidates = router.listReadCandidates(now);
       if (candidates.length === 0) return;
       let route: ReadRoute | undefined;
-      const request = reads.takeNext(now, (queued) => {
+      const request = readQueue.takeNext(now, (queued) => {
         route = router.routeRead(queued, candidates, now);
         return route !== undefined;
       });
@@ -147,15 +147,17 @@
   }
 
   function recordRoute({ member, by }: ReadRoute): void {
-    const isReplica = member !== members.primary();
+    const isReplica = member !== members.getPrimary();
     record({ name: 'readRouted', member: member.name, isReplica, by });
   }
 
   function dispatchToPrimary(now: number): void {
-    while (changes.length() > 0) {
-      const primary = router.usablePrimary(now);
-      if (!primary || !places.hasPlace(primary)) return;
-      const request = changes.takeNext(now, (queued) => router.mayRunAtPrimary(queued, primary));
+    while (primaryQueue.length() > 0) {
+      const primary = router.findUsablePrimary(now);
+      if (!primary || !capacity.hasCapacity(primary)) return;
+      const request = primaryQueue.takeNext(now, (queued) =>
+        router.canRunAtPrimary(queued, primary),
+      );
       if (!request) return;
       attempts.run(request, primary, now);
     }
@@ -171,22 +173,22 @@
   function onAnswered(member: Member, now: number): void {
     rounds.onAnswered(member);
     samples.onAnswered(member, now);
-    unconfirmedWrites.takeSettled().forEach((settled) => onSettled(settled, now));
+    unconfirmedWrites.takeResolved().forEach((settled) => onSettled(settled, now));
     enqueueWithFloor(now);
     scheduleDispatch();
   }
 
   /** `onConfirmed` is not called for a write that `survived` in the log of a later primary. */
-  function onSettled({ write, settlement }: SettledWrite, now: number): void {
+  function onSettled({ write, outcome }: ResolvedWrite, now: number): void {
     const request = requests.get(write.requestId);
     if (!request) return;
-    if (settlement === 'discarded') {
+    if (outcome === 'discarded') {
       complete(request, createDiscardedOutcome(policy.probeIntervalMilliseconds));
       return;
     }
     const waitedMilliseconds = now - write.completedAt;
     record({ name: 'writeConfirmed', waitedMilliseconds });
-    if (settlement === 'confirmed') onConfirmed(waitedMilliseconds);
+    if (outcome === 'confirmed') onConfirmed(waitedMilliseconds);
     complete(request, createDoneOutcome(write.position));
   }
 
@@ -200,8 +202,8 @@
   }
 
   function expire(now: number): void {
-    [...reads.expire(now), ...changes.expire(now)].forEach((request) => {
-      reject(request, router.reasonOf(request, now), now);
+    [...readQueue.expire(now), ...primaryQueue.expire(now)].forEach((request) => {
+      reject(request, router.findNotRunReason(request, now), now);
     });
     let request = requests.takeDue(now);
     while (request) {
@@ -213,19 +215,19 @@
 
   function onDeadline(request: TrackedRequest, now: number): void {
     if (request.phase === 'running') attempts.cancelAttempt(request, now);
-    reject(request, router.reasonOf(request, now), now);
+    reject(request, router.findNotRunReason(request, now), now);
   }
 
   function getStatusDemand(now: number): StatusDemand {
     const hasUnconfirmedWrites = unconfirmedWrites.size() > 0;
-    const openRoundRequestId = rounds.newestOpen();
+    const openRoundRequestId = rounds.findNewestPendingRoundStart();
     const isUrgent = hasUnconfirmedWrites || openRoundRequestId > 0;
     return {
       fromControlRequestId: Math.max(
         openRoundRequestId,
         hasUnconfirmedWrites ? attempts.getFirstConfirmingRequestId() : 0,
       ),
-      isContinuous: hasUnconfirmedWrites || router.waitsForMembers(now),
+      isContinuous: hasUnconfirmedWrites || router.hasRequestsWaitingForStatus(now),
       minimumIntervalMilliseconds: isUrgent
         ? policy.confirmIntervalMilliseconds
         : Math.max(WAITING_INTERVAL_MILLISECONDS, policy.confirmIntervalMilliseconds),
@@ -235,8 +237,8 @@
   function getNextDueAt(): number {
     return Math.min(
       requests.getNextDueAt(),
-      reads.nextDeadline() ?? Number.POSITIVE_INFINITY,
-      changes.nextDeadline() ?? Number.POSITIVE_INFINITY,
+      readQueue.findNextExpiry() ?? Number.POSITIVE_INFINITY,
+      primaryQueue.findNextExpiry() ?? Number.POSITIVE_INFINITY,
     );
   }
 
@@ -253,8 +255,8 @@
     dispatch,
     getStatusDemand,
     getNextDueAt,
-    getOldestUnconfirmedWrite: unconfirmedWrites.oldest,
+    getOldestUnconfirmedWrite: unconfirmedWrites.findOldest,
     countInFlight: attempts.countInFlight,
-    countQueued: () => awaitingFloor.size + reads.length() + changes.length(),
+    countQueued: () => awaitingFloor.size + readQueue.length() + primaryQueue.length(),
   };
 }
--- a/packages/core/src/lib/engine/requestTable.ts
+++ b/packages/core/src/lib/engine/requestTable.ts
@@ -35,9 +35,9 @@
   /** Whether an attempt was cancelled because its member stopped responding. */
   hasCancelledAttempt: boolean;
   /** Member that failed the last attempt. */
-  avoid: string | undefined;
+  avoidedMember: string | undefined;
   /** Until this time, a read waits for a replica instead of using the primary. */
-  patienceUntil: number | undefined;
+  waitForReplicaUntil: number | undefined;
   /** Position of the log entry that the completed attempt wrote, if known. */
   position: Position | undefined;
 }
@@ -94,8 +94,8 @@
       round: undefined,
       hasPossiblyRun: false,
       hasCancelledAttempt: false,
-      avoid: undefined,
-      patienceUntil: undefined,
+      avoidedMember: undefined,
+      waitForReplicaUntil: undefined,
       position: undefined,
     };
     requests.set(request.requestId, tracked);
--- a/packages/core/src/lib/engine/statementAttempts.ts
+++ b/packages/core/src/lib/engine/statementAttempts.ts
@@ -1,5 +1,5 @@
 import { createRetryBudget } from '../admission/retryBudget';
-import { termOf } from './memberTable';
+import { getTerm } from './memberTable';
 import type { Member } from './memberTable';
 import type { RequestCompletion } from './requestCompletion';
 import type { RefusalReason, StatementResult } from './messages';
@@ -57,10 +57,14 @@
   context: RequestContext,
   completion: RequestCompletion,
 ): StatementAttempts {
-  const { policy, members, places, requests, unconfirmedWrites, getQueue, record, emit } = context;
+  const { policy, members, capacity, requests, unconfirmedWrites, getQueue, record, emit } =
+    context;
   const { scheduleDispatch, peekNextControlRequestId } = context;
   const { complete, reject, completeAfterLoss } = completion;
-  const budget = createRetryBudget({ share: policy.retryShare, minimumTokens: MINIMUM_RETRIES });
+  const budget = createRetryBudget({
+    retryRatio: policy.retryShare,
+    minimumTokens: MINIMUM_RETRIES,
+  });
   const transactions = new Map<string, OpenTransaction>();
   let firstConfirmingRequestId = 0;
 
@@ -68,10 +72,10 @@
     request.phase = 'running';
     request.attempt += 1;
     request.member = member;
-    request.term = termOf(member);
+    request.term = getTerm(member);
     request.startedAt = now;
-    if (request.access !== 'commit') places.takeConnection(member);
-    places.startStatement(member);
+    if (request.access !== 'commit') capacity.takeConnection(member);
+    capacity.startStatement(member);
     const { requestId, attempt } = request;
     emit({ type: 'runStatement', requestId, attempt, member: member.name });
   }
@@ -111,10 +115,10 @@
     now: number,
   ): void {
     const milliseconds = now - request.startedAt;
-    places.finishStatement(member, milliseconds);
+    capacity.finishStatement(member, milliseconds);
     getQueue(request).recordCompletion(milliseconds, now);
     if (isConnectionKept) transactions.set(request.requestId, { member, term: request.term });
-    else if (request.access !== 'commit') places.releaseConnection(member);
+    else if (request.access !== 'commit') capacity.releaseConnection(member);
   }
 
   function onCompleted(
@@ -131,11 +135,11 @@
     request.position = result.position;
     request.term = result.position?.term ?? request.term;
     firstConfirmingRequestId = peekNextControlRequestId();
-    unconfirmedWrites.hold({
+    unconfirmedWrites.add({
       requestId: request.requestId,
       term: request.term,
       position: result.position,
-      firstQuestionId: firstConfirmingRequestId,
+      firstControlRequestId: firstConfirmingRequestId,
       completedAt: now,
     });
   }
@@ -150,7 +154,7 @@
 
   const refusalHandlers: Record<RefusalReason, (member: Member, now: number) => void> = {
     connectionLimit: (member, now) => {
-      places.onConnectionRefused(member, now);
+      capacity.onConnectionRefused(member, now);
       avoidMember(member, now);
     },
     connectFailed: avoidMember,
@@ -190,22 +194,22 @@
   }
 
   function retry(request: TrackedRequest, reason: string, now: number): void {
-    request.avoid = request.member?.name;
-    if (!budget.tryRetry(now)) {
+    request.avoidedMember = request.member?.name;
+    if (!budget.trySpendRetry(now)) {
       reject(request, 'refusedByDatabase', now);
       return;
     }
     const { requestId, attempt } = request;
     record({ name: 'requestRetried', requestId, attempt: attempt + 1, reason });
     request.phase = 'queued';
-    getQueue(request).putBack(request);
+    getQueue(request).requeue(request);
   }
 
   function onTransactionFinished(transactionId: string): void {
     const transaction = transactions.get(transactionId);
     if (!transaction) return;
     transactions.delete(transactionId);
-    places.releaseConnection(transaction.member);
+    capacity.releaseConnection(transaction.member);
     scheduleDispatch();
   }
 
@@ -225,7 +229,7 @@
   function cancelSilentAttempts(isSilent: (member: Member) => boolean, now: number): void {
     members
       .list()
-      .filter((member) => places.running(member) > 0 && isSilent(member))
+      .filter((member) => capacity.countRunning(member) > 0 && isSilent(member))
       .forEach((member) => cancelAttemptsAt(member, now));
   }
 
@@ -259,12 +263,12 @@
   function countInFlight(name: string): number {
     const open = [...transactions.values()].filter(({ member }) => member.name === name).length;
     const member = members.get(name);
-    return open + (member ? places.running(member) : 0);
+    return open + (member ? capacity.countRunning(member) : 0);
   }
 
   return {
     run,
-    recordArrival: budget.recordFirstTry,
+    recordArrival: budget.recordFirstAttempt,
     onFinished,
     onTransactionFinished,
     getTransaction: ({ transactionId }) => transactions.get(transactionId ?? ''),
--- a/packages/core/src/lib/engine/statusPoller.ts
+++ b/packages/core/src/lib/engine/statusPoller.ts
@@ -106,7 +106,7 @@
     demand: StatusDemand,
     now: number,
   ): boolean {
-    if (member.failedQuestions >= FAILURES_BEFORE_PROBES_ONLY) return false;
+    if (member.consecutiveFailures >= FAILURES_BEFORE_PROBES_ONLY) return false;
     const open = requests.countOpen(member.name);
     if (open >= MAXIMUM_OPEN_REQUESTS) return false;
     if (demand.fromControlRequestId > schedule.lastRequestId) return open < MAXIMUM_OPEN_FOR_DEMAND;
--- a/packages/core/src/lib/failover/ballot.ts
+++ b/packages/core/src/lib/failover/ballot.ts
@@ -1,6 +1,6 @@
 import { comparePositions } from '@wisterialift/schema';
 import type { MemberStatus } from '@wisterialift/schema';
-import { lowestMajorityEnd } from '../engine/memberTable';
+import { findLowestMajorityLogEnd } from '../engine/memberTable';
 
 /** Open requests of one failover, and the members that granted its term. @internal */
 export interface Ballot {
@@ -35,7 +35,7 @@
   const { ballot, majority, isDeprioritized } = options;
   const grants = [...ballot.grants].map(([member, { logEnd }]) => ({ member, logEnd }));
   const logEnds = grants.map(({ logEnd }) => logEnd);
-  const bound = lowestMajorityEnd(logEnds, majority);
+  const bound = findLowestMajorityLogEnd(logEnds, majority);
   const eligible = grants.filter(({ logEnd }) => bound && comparePositions(logEnd, bound) >= 0);
   eligible.sort(
     (left, right) =>
--- a/packages/core/src/lib/failover/failoverController.ts
+++ b/packages/core/src/lib/failover/failoverController.ts
@@ -1,5 +1,5 @@
 import type { MemberStatus } from '@wisterialift/schema';
-import { termOf } from '../engine/memberTable';
+import { getTerm } from '../engine/memberTable';
 import type { Member, MemberTable } from '../engine/memberTable';
 import type { EngineEffect, EngineRecord } from '../engine/messages';
 import { chooseCandidate, createBallot } from './ballot';
@@ -193,9 +193,9 @@
     }
     const { dueAt, fromControlRequestId } = lifecycle.getContext();
     const fresh = findFenceTargets(suspicion).filter(
-      (member) => member.statusQuestionId >= fromControlRequestId,
+      (member) => member.statusControlRequestId >= fromControlRequestId,
     );
-    const hasMajority = fresh.length >= members.majority();
+    const hasMajority = fresh.length >= members.getMajority();
     const hasTime = now < dueAt;
     const isFullWaitNeeded = suspicion.cause === 'silent' && !isSuspectUnreachable();
     if (hasTime && (isFullWaitNeeded || !hasMajority)) return;
@@ -234,7 +234,7 @@
 
   function onFencing(now: number): void {
     const { term, dueAt } = lifecycle.getContext();
-    const majority = members.majority();
+    const majority = members.getMajority();
     const granted = ballot.grants.size;
     if (granted >= majority && (!canWaitForAllGrants() || ballot.open.size === 0 || now >= dueAt)) {
       startPromotion(now);
@@ -273,7 +273,7 @@
     record({ name: 'termFenced', term, members: granted });
     const candidate = chooseCandidate({
       ballot,
-      majority: members.majority(),
+      majority: members.getMajority(),
       isDeprioritized,
     });
     promotionAttempts = 0;
@@ -342,7 +342,7 @@
 
   /** Limits checks in the phase `steady`, because status responses are frequent. */
   function canSkipCheck(now: number): boolean {
-    const isSettled = lifecycle.getPhase() === 'steady' && members.primary() === checkedPrimary;
+    const isSettled = lifecycle.getPhase() === 'steady' && members.getPrimary() === checkedPrimary;
     return isSettled && now < checkedAt + times.checkMilliseconds;
   }
 
@@ -350,17 +350,17 @@
     if (canSkipCheck(now)) return;
     checkedAt = now;
     coordination.observeTerms(now);
-    checkedPrimary = members.primary();
+    checkedPrimary = members.getPrimary();
     phaseHandlers[lifecycle.getPhase()](now);
     learnPrimary();
     if (lifecycle.getPhase() !== 'fencing') attachment.attach(now);
   }
 
   function learnPrimary(): void {
-    const primary = members.primary();
-    if (!primary || termOf(primary) <= learnedTerm) return;
+    const primary = members.getPrimary();
+    if (!primary || getTerm(primary) <= learnedTerm) return;
     if (learnedTerm > 0) detector.onPrimaryChanged();
-    learnedTerm = termOf(primary);
+    learnedTerm = getTerm(primary);
     record({ name: 'primaryLearned', term: learnedTerm, member: primary.name });
   }
 
--- a/packages/core/src/lib/failover/memberAttachment.ts
+++ b/packages/core/src/lib/failover/memberAttachment.ts
@@ -1,4 +1,4 @@
-import { termOf } from '../engine/memberTable';
+import { getTerm } from '../engine/memberTable';
 import type { Member, MemberTable } from '../engine/memberTable';
 import type { FailoverCommand } from './failoverCommand';
 
@@ -28,12 +28,12 @@
   function attachTo(primary: Member, member: Member, now: number): void {
     const nextFollowAt = now + followMilliseconds * (0.5 + random());
     Object.assign(member, { nextFollowAt });
-    const follow = { type: 'follow', term: termOf(primary), primary: primary.name } as const;
+    const follow = { type: 'follow', term: getTerm(primary), primary: primary.name } as const;
     sendCommand({ ...follow, member: member.name }, now);
   }
 
   function attach(now: number): void {
-    const primary = members.primary();
+    const primary = members.getPrimary();
     if (!primary) return;
     members
       .list()
@@ -47,7 +47,7 @@
 
 function isFollowNeeded(member: Member, primary: Member): boolean {
   if (!member.status) return false;
-  const term = termOf(primary);
+  const term = getTerm(primary);
   if (member.status.currentTerm < term) return true;
   return member.status.currentTerm === term && member.status.following !== primary.name;
 }
--- a/packages/core/src/lib/failover/primaryFailureDetector.ts
+++ b/packages/core/src/lib/failover/primaryFailureDetector.ts
@@ -1,6 +1,6 @@
 import { comparePositions } from '@wisterialift/schema';
-import type { HeldWrite } from '../acknowledgement/confirmationTracker';
-import { hasAnswered, termOf } from '../engine/memberTable';
+import type { PendingWrite } from '../acknowledgement/confirmationTracker';
+import { hasRespondedWithin, getTerm } from '../engine/memberTable';
 import type { Member, MemberTable } from '../engine/memberTable';
 import type { SuspicionCause } from '../engine/messages';
 import type { Suspicion } from './failoverMachine';
@@ -59,7 +59,7 @@
 export function createPrimaryFailureDetector(options: {
   members: MemberTable;
   times: DetectionTimes;
-  getOldestUnconfirmedWrite: () => HeldWrite | undefined;
+  getOldestUnconfirmedWrite: () => PendingWrite | undefined;
 }): PrimaryFailureDetector {
   const { members, times, getOldestUnconfirmedWrite } = options;
   const conditionSince = new Map<SuspicionCause, number>();
@@ -82,7 +82,7 @@
   }
 
   function findAnswering(list: readonly Member[], now: number): Member[] {
-    return list.filter((member) => hasAnswered(member, times.suspicionMilliseconds, now));
+    return list.filter((member) => hasRespondedWithin(member, times.suspicionMilliseconds, now));
   }
 
   function listOthers(primary: Member): Member[] {
@@ -90,11 +90,11 @@
   }
 
   function hasMajority(list: Member[]): boolean {
-    return list.length >= members.majority();
+    return list.length >= members.getMajority();
   }
 
   function isSilent(member: Member, now: number): boolean {
-    if (member.failedQuestions < SILENT_MEMBER_FAILURES) return false;
+    if (member.consecutiveFailures < SILENT_MEMBER_FAILURES) return false;
     return now - member.silentSince >= getSilenceTimeout(member);
   }
 
@@ -105,9 +105,9 @@
 
   function hasAdvancingReplica(primary: Member, now: number): boolean {
     const furthest = listOthers(primary)
-      .filter((member) => termOf(member) === termOf(primary))
+      .filter((member) => getTerm(member) === getTerm(primary))
       .sort((left, right) => comparePositions(getLogEnd(right), getLogEnd(left)))[0];
-    if (!furthest || !hasAnswered(furthest, times.suspicionMilliseconds, now)) return false;
+    if (!furthest || !hasRespondedWithin(furthest, times.suspicionMilliseconds, now)) return false;
     return now - furthest.logAdvancedAt < getSilenceTimeout(primary);
   }
 
@@ -119,10 +119,10 @@
 
   function isIsolatedFromGroup(primary: Member, now: number): boolean {
     const write = getOldestUnconfirmedWrite();
-    if (!write || write.term !== termOf(primary)) return false;
+    if (!write || write.term !== getTerm(primary)) return false;
     const timeout = times.unconfirmedMilliseconds * EXTENSION_FACTOR ** extensions;
     if (now - write.completedAt < timeout) return false;
-    if (!hasAnswered(primary, times.suspicionMilliseconds, now)) return false;
+    if (!hasRespondedWithin(primary, times.suspicionMilliseconds, now)) return false;
     const stalled = findAnswering(listOthers(primary), now).filter(
       (member) =>
         now - member.logAdvancedAt >= timeout &&
@@ -135,19 +135,19 @@
     return findAnswering(listOthers(primary), now).some(
       (member) =>
         !member.database.leaving &&
-        termOf(member) === termOf(primary) &&
+        getTerm(member) === getTerm(primary) &&
         getLogEnd(member).index + HANDOVER_LAG_ENTRIES >= getLogEnd(primary).index,
     );
   }
 
   function findStranded(primary: Member, now: number): Member | undefined {
     return findAnswering(listOthers(primary), now).find(
-      (member) => termOf(member) > termOf(primary),
+      (member) => getTerm(member) > getTerm(primary),
     );
   }
 
   function findSuspicion(now: number): Suspicion | undefined {
-    const primary = members.primary();
+    const primary = members.getPrimary();
     const isAbsent = !primary && hasMajority(findAnswering(members.list(), now));
     if (updateCondition('absent', isAbsent, times.suspicionMilliseconds, now)) {
       return { cause: 'absent', member: '' };
@@ -174,21 +174,21 @@
 
   const suspicionChecks: Record<SuspicionCause, (suspicion: Suspicion, now: number) => boolean> = {
     silent: ({ member }, now) => {
-      const primary = members.primary();
+      const primary = members.getPrimary();
       return !primary || (primary.name === member && isPrimarySilent(primary, now));
     },
     unconfirmed: ({ member }, now) => {
-      const primary = members.primary();
+      const primary = members.getPrimary();
       return !primary || (primary.name === member && isIsolatedFromGroup(primary, now));
     },
-    absent: () => !members.primary(),
+    absent: () => !members.getPrimary(),
     leaving: ({ member }, now) => {
-      const primary = members.primary();
+      const primary = members.getPrimary();
       if (!primary) return true;
       return primary.name === member && primary.database.leaving && hasSuccessor(primary, now);
     },
     stranded: (_suspicion, now) => {
-      const primary = members.primary();
+      const primary = members.getPrimary();
       return !primary || findStranded(primary, now) !== undefined;
     },
   };
--- a/packages/core/src/lib/membership/backOff.ts
+++ b/packages/core/src/lib/membership/backOff.ts
@@ -13,7 +13,7 @@
  * @returns the pause in milliseconds.
  * @public
  */
-export function backOffMilliseconds(options: {
+export function computeBackOffMilliseconds(options: {
   failures: number;
   random: number;
   times: BackOffTimes;
@@ -31,6 +31,6 @@
  * @returns the pause in milliseconds.
  * @public
  */
-export function jitterMilliseconds(options: { milliseconds: number; random: number }): number {
+export function applyJitter(options: { milliseconds: number; random: number }): number {
   return options.milliseconds * (0.5 + options.random);
 }
--- a/packages/core/src/lib/membership/audience.ts
+++ b/packages/core/src/lib/membership/configurationForwarding.ts
@@ -3,7 +3,7 @@
 import { chooseWatchers } from './watchers';
 
 /** An instance and all instances that it knows, including itself. @public */
-export interface InstancePerspective {
+export interface MembershipSnapshot {
   self: Instance;
   instances: readonly Instance[];
 }
@@ -28,8 +28,8 @@
  *
  * @public
  */
-export function chooseAudience(
-  options: InstancePerspective & { source: ConfigurationSource },
+export function chooseForwardingTargets(
+  options: MembershipSnapshot & { source: ConfigurationSource },
 ): Instance[] {
   const { self, instances, source } = options;
   const watchers = new Set(listAllWatcherNames(instances));
@@ -48,7 +48,7 @@
  *
  * @public
  */
-export function chooseSources({ self, instances }: InstancePerspective): Instance[] {
+export function orderWatchersToQuery({ self, instances }: MembershipSnapshot): Instance[] {
   const names = chooseWatchers({ instances, dataCentre: self.dataCentre }).filter(
     (name) => name !== self.name,
   );
@@ -56,7 +56,7 @@
 }
 
 /** Whether an instance watches the platform; true if its data centre has no known watcher. @public */
-export function isWatcher({ self, instances }: InstancePerspective): boolean {
+export function isWatcher({ self, instances }: MembershipSnapshot): boolean {
   const watchers = chooseWatchers({ instances, dataCentre: self.dataCentre });
   return watchers.length === 0 || watchers.includes(self.name);
 }
--- a/packages/core/src/lib/membership/instanceView.ts
+++ b/packages/core/src/lib/membership/instanceView.ts
@@ -33,7 +33,7 @@
 }
 
 /** Replaces the entry of the instance itself, for example when it starts leaving. @public */
-export function withSelf(view: InstanceView, self: Instance): InstanceView {
+export function replaceSelf(view: InstanceView, self: Instance): InstanceView {
   return { ...view, self };
 }
 
@@ -69,7 +69,7 @@
  * @param options.now - monotonic time in milliseconds.
  * @public
  */
-export function mergeLeaving(options: {
+export function markLeaving(options: {
   view: InstanceView;
   name: string;
   now: number;
@@ -83,7 +83,7 @@
 }
 
 /** Returns the instances of a view sorted by name, with announced departures applied. @public */
-export function instancesOf(view: InstanceView): Instance[] {
+export function listInstances(view: InstanceView): Instance[] {
   const others = view.others.map(({ instance, leavingOverrideUntil }) =>
     leavingOverrideUntil === undefined ? instance : { ...instance, state: 'leaving' as const },
   );
--- a/packages/core/src/lib/membership/rendezvous.ts
+++ b/packages/core/src/lib/membership/rendezvous.ts
@@ -25,13 +25,13 @@
    * Returns the relative share of keys for which a name comes first, by logarithmic rendezvous hashing;
    * 1 by default. Changing a weight moves keys only to or from that name.
    */
-  weightOf?: (name: string) => number;
+  getWeight?: (name: string) => number;
 }): string[] {
-  const { key, names, weightOf = () => 1 } = options;
+  const { key, names, getWeight = () => 1 } = options;
   return names
     .map((name) => ({
       name,
-      score: weightOf(name) / -Math.log(toUnitInterval(hashText(`${key}\n${name}`))),
+      score: getWeight(name) / -Math.log(toUnitInterval(hashText(`${key}\n${name}`))),
     }))
     .sort(compareScores)
     .map(({ name }) => name);
--- a/packages/core/src/lib/reads/floorRounds.ts
+++ b/packages/core/src/lib/reads/floorRounds.ts
@@ -1,6 +1,6 @@
 import { comparePositions } from '@wisterialift/schema';
 import type { Position } from '@wisterialift/schema';
-import { lowestMajorityEnd } from '../engine/memberTable';
+import { findLowestMajorityLogEnd } from '../engine/memberTable';
 import type { Member, MemberTable } from '../engine/memberTable';
 
 /**
@@ -12,7 +12,7 @@
  */
 export interface FloorRound {
   /** First status request of the round; earlier answers are ignored. */
-  firstQuestionId: number;
+  firstControlRequestId: number;
   /** Upper bound of the writes acknowledged before the round; undefined until a majority answers. */
   floor: Position | undefined;
   /** Highest term reported in the round. */
@@ -24,12 +24,12 @@
 /** @internal */
 export interface FloorRounds {
   /** Returns the round for a new read; call `leave` when the read ends. */
-  join: (nextQuestionId: number) => FloorRound;
+  join: (nextControlRequestId: number) => FloorRound;
   leave: (round: FloorRound) => void;
   /** Updates the rounds with a new answer. */
   onAnswered: (member: Member) => void;
   /** Returns the first status request of the newest round without a floor; 0 if there is none. */
-  newestOpen: () => number;
+  findNewestPendingRoundStart: () => number;
 }
 
 /**
@@ -44,13 +44,18 @@
 export function createFloorRounds(members: MemberTable): FloorRounds {
   let rounds: FloorRound[] = [];
 
-  function join(nextQuestionId: number): FloorRound {
+  function join(nextControlRequestId: number): FloorRound {
     const newest = rounds.at(-1);
-    if (newest?.firstQuestionId === nextQuestionId) {
+    if (newest?.firstControlRequestId === nextControlRequestId) {
       newest.readers += 1;
       return newest;
     }
-    const round = { firstQuestionId: nextQuestionId, floor: undefined, term: 0, readers: 1 };
+    const round = {
+      firstControlRequestId: nextControlRequestId,
+      floor: undefined,
+      term: 0,
+      readers: 1,
+    };
     rounds.push(round);
     return round;
   }
@@ -62,27 +67,27 @@
 
   function onAnswered(member: Member): void {
     for (const round of rounds) {
-      if (round.firstQuestionId > member.statusQuestionId) return;
+      if (round.firstControlRequestId > member.statusControlRequestId) return;
       updateRound(round, members);
     }
   }
 
-  function newestOpen(): number {
-    return rounds.findLast(({ floor }) => floor === undefined)?.firstQuestionId ?? 0;
+  function findNewestPendingRoundStart(): number {
+    return rounds.findLast(({ floor }) => floor === undefined)?.firstControlRequestId ?? 0;
   }
 
-  return { join, leave, onAnswered, newestOpen };
+  return { join, leave, onAnswered, findNewestPendingRoundStart };
 }
 
 function updateRound(round: FloorRound, members: MemberTable): void {
   const logEnds: Position[] = [];
   let { term } = round;
-  for (const { status, statusQuestionId } of members.list()) {
-    if (!status || statusQuestionId < round.firstQuestionId) continue;
+  for (const { status, statusControlRequestId } of members.list()) {
+    if (!status || statusControlRequestId < round.firstControlRequestId) continue;
     logEnds.push(status.logEnd);
     term = Math.max(term, status.currentTerm);
   }
-  const bound = lowestMajorityEnd(logEnds, members.majority());
+  const bound = findLowestMajorityLogEnd(logEnds, members.getMajority());
   const isLower = bound && (!round.floor || comparePositions(bound, round.floor) < 0);
   Object.assign(round, { term, floor: isLower ? bound : round.floor });
 }
--- a/packages/core/src/lib/reads/readRouter.ts
+++ b/packages/core/src/lib/reads/readRouter.ts
@@ -1,6 +1,6 @@
 import { isAtMost } from '@wisterialift/schema';
 import type { Position } from '@wisterialift/schema';
-import { shows } from '../engine/history';
+import { hasApplied } from '../engine/logHistory';
 import type { Member } from '../engine/memberTable';
 
 /** Conditions that a member must meet to serve a read. @internal */
@@ -68,7 +68,7 @@
 ): ReadRoute['by'] | undefined {
   const { status } = member;
   if (!status) return undefined;
-  if (read.token && !shows(status, read.token)) return undefined;
+  if (read.token && !hasApplied(status, read.token)) return undefined;
   if (read.freshSince !== undefined && member.freshAsOf >= read.freshSince) return 'staleness';
   if (read.floor && isAtMost(read.floor, status.applied)) return read.token ? 'token' : 'floor';
   return undefined;
--- a/packages/core/src/lib/reads/stalenessSamples.ts
+++ b/packages/core/src/lib/reads/stalenessSamples.ts
@@ -52,12 +52,12 @@
 
 function takeSample(members: MemberTable): Sample | undefined {
   const answered = members.list().filter(({ status }) => status !== undefined);
-  if (answered.length < members.majority()) return undefined;
+  if (answered.length < members.getMajority()) return undefined;
   const newest = [...answered]
-    .sort((left, right) => right.statusAskedAt - left.statusAskedAt)
-    .slice(0, members.majority());
+    .sort((left, right) => right.statusRequestedAt - left.statusRequestedAt)
+    .slice(0, members.getMajority());
   const ends = newest.flatMap(({ status }) => (status ? [status.logEnd] : []));
-  const at = Math.min(...newest.map(({ statusAskedAt }) => statusAskedAt));
+  const at = Math.min(...newest.map(({ statusRequestedAt }) => statusRequestedAt));
   return { at, position: ends.sort(comparePositions).at(-1) as Position };
 }
 
--- a/packages/core/src/lib/routing/requestRouter.ts
+++ b/packages/core/src/lib/routing/requestRouter.ts
@@ -1,7 +1,7 @@
 import { isAtMost } from '@wisterialift/schema';
 import type { NotRunReason } from '@wisterialift/schema';
-import { shows } from '../engine/history';
-import { hasAnswered, termOf } from '../engine/memberTable';
+import { hasApplied } from '../engine/logHistory';
+import { hasRespondedWithin, getTerm } from '../engine/memberTable';
 import type { Member } from '../engine/memberTable';
 import type { RequestContext } from '../engine/requestContext';
 import type { TrackedRequest } from '../engine/requestTable';
@@ -16,18 +16,18 @@
 /** @internal */
 export interface RequestRouter {
   /** Returns the usable members with free capacity for reads. */
-  readCandidates: (now: number) => Member[];
+  listReadCandidates: (now: number) => Member[];
   routeRead: (request: TrackedRequest, candidates: Member[], now: number) => ReadRoute | undefined;
   /** Returns the primary for writes; undefined while none can acknowledge them. */
-  usablePrimary: (now: number) => Member | undefined;
-  mayRunAtPrimary: (request: TrackedRequest, primary: Member) => boolean;
+  findUsablePrimary: (now: number) => Member | undefined;
+  canRunAtPrimary: (request: TrackedRequest, primary: Member) => boolean;
   /** Whether any member is eligible for the read, regardless of its capacity. */
   isServable: (request: TrackedRequest, now: number) => boolean;
   /** Returns the reason why a queued request has not been sent. */
-  reasonOf: (request: TrackedRequest, now: number) => NotRunReason;
+  findNotRunReason: (request: TrackedRequest, now: number) => NotRunReason;
   isSilent: (member: Member, now: number) => boolean;
   /** Whether queued requests wait for new status answers rather than for capacity. */
-  waitsForMembers: (now: number) => boolean;
+  hasRequestsWaitingForStatus: (now: number) => boolean;
 }
 
 /**
@@ -36,7 +36,16 @@
  * @internal
  */
 export function createRequestRouter(context: RequestContext): RequestRouter {
-  const { policy, dataCentre, members, places, requests, reads, changes, holdsWrites } = context;
+  const {
+    policy,
+    dataCentre,
+    members,
+    capacity,
+    requests,
+    readQueue,
+    primaryQueue,
+    isBlockingWrites,
+  } = context;
 
   function createRequirement(request: TrackedRequest, now: number): ReadRequirement {
     const staleness = request.maximumStalenessMilliseconds;
@@ -44,21 +53,22 @@
       floor: staleness === 0 ? (request.token ?? request.round?.floor) : request.round?.floor,
       freshSince: staleness > 0 ? now - staleness : undefined,
       token: request.token,
-      avoidedMember: request.avoid,
+      avoidedMember: request.avoidedMember,
     };
   }
 
   function isUsable(member: Member, now: number): boolean {
-    if (member.failedQuestions >= UNUSABLE_MEMBER_FAILURES) return false;
+    if (member.consecutiveFailures >= UNUSABLE_MEMBER_FAILURES) return false;
     if (now < member.avoidUntil) return false;
-    return hasAnswered(member, policy.suspicionMilliseconds, now);
+    return hasRespondedWithin(member, policy.suspicionMilliseconds, now);
   }
 
-  function readCandidates(now: number): Member[] {
+  function listReadCandidates(now: number): Member[] {
     return members
       .list()
       .filter(
-        (member) => !member.database.leaving && isUsable(member, now) && places.hasPlace(member),
+        (member) =>
+          !member.database.leaving && isUsable(member, now) && capacity.hasCapacity(member),
       );
   }
 
@@ -67,14 +77,14 @@
     candidates: Member[],
     now: number,
   ): ReadRoute | undefined {
-    const primary = members.primary();
+    const primary = members.getPrimary();
     const read = createRequirement(request, now);
     const route = chooseReadMember({
       candidates,
       read,
       dataCentre,
       primary,
-      runningAt: places.running,
+      runningAt: capacity.countRunning,
     });
     if (!route || route.member !== primary) return route;
     return isWaitingForReplica(request, primary, now) ? undefined : route;
@@ -85,12 +95,12 @@
    * first call starts the wait. Lagging replicas are waited for only until they answer the read's round.
    */
   function isWaitingForReplica(request: TrackedRequest, primary: Member, now: number): boolean {
-    if (request.patienceUntil === undefined) {
+    if (request.waitForReplicaUntil === undefined) {
       const halfOfRemainingTime = (request.deadlineAt - now) / 2;
-      request.patienceUntil = now + Math.min(REPLICA_WAIT_MILLISECONDS, halfOfRemainingTime);
-      requests.wakeAt(request, request.patienceUntil);
+      request.waitForReplicaUntil = now + Math.min(REPLICA_WAIT_MILLISECONDS, halfOfRemainingTime);
+      requests.wakeAt(request, request.waitForReplicaUntil);
     }
-    if (now >= request.patienceUntil) return false;
+    if (now >= request.waitForReplicaUntil) return false;
     return members.list().some((member) => {
       if (member === primary || member.database.leaving || !isUsable(member, now)) return false;
       return isCaughtUp(member) || hasPendingAnswer(member, request);
@@ -98,49 +108,49 @@
   }
 
   function isCaughtUp(member: Member): boolean {
-    return member.statusAskedAt - member.freshAsOf <= REPLICA_WAIT_MILLISECONDS;
+    return member.statusRequestedAt - member.freshAsOf <= REPLICA_WAIT_MILLISECONDS;
   }
 
   /** A pending answer may still lower the floor of the round to a replica's position. */
   function hasPendingAnswer(member: Member, { round }: TrackedRequest): boolean {
-    return round !== undefined && member.statusQuestionId < round.firstQuestionId;
+    return round !== undefined && member.statusControlRequestId < round.firstControlRequestId;
   }
 
-  function usablePrimary(now: number): Member | undefined {
-    if (holdsWrites()) return undefined;
-    const primary = members.primary();
+  function findUsablePrimary(now: number): Member | undefined {
+    if (isBlockingWrites()) return undefined;
+    const primary = members.getPrimary();
     if (!primary || !isUsable(primary, now)) return undefined;
     const answering = members
       .list()
-      .filter((member) => hasAnswered(member, policy.suspicionMilliseconds, now));
-    return answering.length >= members.majority() ? primary : undefined;
+      .filter((member) => hasRespondedWithin(member, policy.suspicionMilliseconds, now));
+    return answering.length >= members.getMajority() ? primary : undefined;
   }
 
-  function mayRunAtPrimary(request: TrackedRequest, primary: Member): boolean {
+  function canRunAtPrimary(request: TrackedRequest, primary: Member): boolean {
     const { round, token } = request;
     // The session has seen a higher term, so this primary has been replaced.
-    if (token && token.term > termOf(primary)) return false;
+    if (token && token.term > getTerm(primary)) return false;
     if (request.access === 'write') return true;
     const { status } = primary;
     if (!status || !round?.floor || status.currentTerm < round.term) return false;
-    return isAtMost(round.floor, status.applied) && (!token || shows(status, token));
+    return isAtMost(round.floor, status.applied) && (!token || hasApplied(status, token));
   }
 
   function isSilent(member: Member, now: number): boolean {
-    const isFailing = member.failedQuestions >= UNUSABLE_MEMBER_FAILURES;
+    const isFailing = member.consecutiveFailures >= UNUSABLE_MEMBER_FAILURES;
     return isFailing && now - member.silentSince >= policy.suspicionMilliseconds;
   }
 
-  function reasonOf(request: TrackedRequest, now: number): NotRunReason {
-    if (request.access !== 'read') return usablePrimary(now) ? 'deadline' : 'noPrimary';
+  function findNotRunReason(request: TrackedRequest, now: number): NotRunReason {
+    if (request.access !== 'read') return findUsablePrimary(now) ? 'deadline' : 'noPrimary';
     return isServable(request, now) ? 'deadline' : 'noFreshMember';
   }
 
-  function waitsForMembers(now: number): boolean {
-    if (reads.length() > 0 && readCandidates(now).length > 0) return true;
-    if (changes.length() === 0) return false;
-    const primary = usablePrimary(now);
-    return !primary || places.hasPlace(primary);
+  function hasRequestsWaitingForStatus(now: number): boolean {
+    if (readQueue.length() > 0 && listReadCandidates(now).length > 0) return true;
+    if (primaryQueue.length() === 0) return false;
+    const primary = findUsablePrimary(now);
+    return !primary || capacity.hasCapacity(primary);
   }
 
   function isServable(request: TrackedRequest, now: number): boolean {
@@ -149,13 +159,13 @@
   }
 
   return {
-    readCandidates,
+    listReadCandidates,
     routeRead,
-    usablePrimary,
-    mayRunAtPrimary,
+    findUsablePrimary,
+    canRunAtPrimary,
     isServable,
-    reasonOf,
+    findNotRunReason,
     isSilent,
-    waitsForMembers,
+    hasRequestsWaitingForStatus,
   };
 }
--- a/packages/core/src/lib/session/classifyStatement.ts
+++ b/packages/core/src/lib/session/classifyStatement.ts
@@ -1,14 +1,14 @@
 import { parseSetStatement } from './parseSetStatement';
 import { readFirstWord, tokenizeSql, type SqlToken } from './sqlTokens';
 import { parseStatementOptions } from './statementOptions';
-import type { Statement, StatementRequest, VariableColumn } from './statement';
+import type { ClassifiedStatement, StatementClassification, VariableColumn } from './statement';
 
-const WRITE: StatementRequest = { type: 'write' };
-const READ: StatementRequest = { type: 'read' };
-const LOCKING_READ: StatementRequest = { type: 'lockingRead' };
-const DEFINITION: StatementRequest = { type: 'definition' };
+const WRITE: StatementClassification = { type: 'write' };
+const READ: StatementClassification = { type: 'read' };
+const LOCKING_READ: StatementClassification = { type: 'lockingRead' };
+const DEFINITION: StatementClassification = { type: 'definition' };
 
-const asUnsupported = (feature: string): StatementRequest => ({
+const asUnsupported = (feature: string): StatementClassification => ({
   type: 'unsupported',
   feature,
 });
@@ -37,7 +37,7 @@
   'LAST_INSERT_ID',
 ]);
 
-type StatementClassifier = (sql: string) => StatementRequest;
+type StatementClassifier = (sql: string) => StatementClassification;
 
 const classifiersByWord: Record<string, StatementClassifier> = {
   SELECT: classifySelect,
@@ -100,7 +100,7 @@
  * classifyStatement('SELECT 1').request // { type: 'read' }
  * @public
  */
-export function classifyStatement(sql: string): Statement {
+export function classifyStatement(sql: string): ClassifiedStatement {
   const classify = classifiersByWord[readFirstWord(sql)];
   return { request: classify ? classify(sql) : WRITE, options: parseStatementOptions(sql) };
 }
@@ -114,9 +114,9 @@
 function classifyExact(
   sql: string,
   pattern: RegExp,
-  classification: StatementRequest,
+  classification: StatementClassification,
   unsupportedFeature: string,
-): StatementRequest {
+): StatementClassification {
   const words = tokenizeStatement(sql).map(({ value }) => value);
   return pattern.test(words.join(' ')) ? classification : asUnsupported(unsupportedFeature);
 }
@@ -127,7 +127,7 @@
  * Rejects RETURNING: an answer that ends with rows carries no log position, so the write could not be
  * confirmed by a majority.
  */
-function classifyWrite(sql: string): StatementRequest {
+function classifyWrite(sql: string): StatementClassification {
   if (!RETURNING.test(sql)) return WRITE;
   const isReturning = tokenizeSql(sql).some(
     ({ type, value }) => type === 'word' && value === 'RETURNING',
@@ -135,7 +135,7 @@
   return isReturning ? asUnsupported('RETURNING') : WRITE;
 }
 
-function classifyRollback(sql: string): StatementRequest {
+function classifyRollback(sql: string): StatementClassification {
   const words = tokenizeStatement(sql).map(({ value }) => value);
   if (words.includes('TO')) return WRITE;
   return classifyExact(
@@ -146,18 +146,18 @@
   );
 }
 
-function classifySet(sql: string): StatementRequest {
+function classifySet(sql: string): StatementClassification {
   const assignments = parseSetStatement(tokenizeStatement(sql));
   return assignments ? { type: 'set', assignments } : asUnsupported('this form of SET');
 }
 
-function classifyUse(sql: string): StatementRequest {
+function classifyUse(sql: string): StatementClassification {
   const [, name, ...rest] = tokenizeStatement(sql);
   if (!name || rest.length > 0) return asUnsupported('this form of USE');
   return { type: 'use', group: name.type === 'word' ? name.text : name.value };
 }
 
-function classifyShow(sql: string): StatementRequest {
+function classifyShow(sql: string): StatementClassification {
   const tokens = tokenizeStatement(sql);
   const words = tokens.map(({ value }) => value);
   const [, second, third] = words;
@@ -170,7 +170,7 @@
   return READ;
 }
 
-function classifySelect(sql: string): StatementRequest {
+function classifySelect(sql: string): StatementClassification {
   const tokens = tokenizeStatement(sql);
   return parseSelectedVariables(tokens) ?? classifyQuery(tokens);
 }
@@ -178,7 +178,7 @@
 /** Words that make a query a write at any nesting depth. */
 const writeKeywords = new Set(['INTO', 'UPDATE', 'DELETE', 'INSERT', 'REPLACE', 'CALL']);
 
-function classifyQuery(tokens: SqlToken[]): StatementRequest {
+function classifyQuery(tokens: SqlToken[]): StatementClassification {
   let classification = READ;
   for (let index = 0; index < tokens.length; index += 1) {
     const { type, value } = tokens[index] as SqlToken;
@@ -201,7 +201,7 @@
 }
 
 /** Parses `SELECT @@name [AS label], function() ...`; undefined for queries that need a database. */
-function parseSelectedVariables(tokens: SqlToken[]): StatementRequest | undefined {
+function parseSelectedVariables(tokens: SqlToken[]): StatementClassification | undefined {
   const [select, ...list] = removeLimit(tokens);
   if (select?.value !== 'SELECT') return undefined;
   const columns: VariableColumn[] = [];
--- a/packages/core/src/lib/session/session.ts
+++ b/packages/core/src/lib/session/session.ts
@@ -1,4 +1,4 @@
-import { ORIGIN, maxPosition, type Position } from '@wisterialift/schema';
+import { INITIAL_POSITION, getHigherPosition, type Position } from '@wisterialift/schema';
 import type { Assignment } from './statement';
 import { decodeToken, encodeToken, type GroupPosition } from './sessionToken';
 
@@ -30,9 +30,9 @@
    * @returns undefined if the engine must query the group for the position.
    * @throws InvalidTokenError
    */
-  floorOf: (group: string, token?: string) => Position | undefined;
+  resolveFloor: (group: string, token?: string) => Position | undefined;
   /** Returns a token with all positions of the session. */
-  token: () => string;
+  createToken: () => string;
   /** Resets the session to the state of a new connection. */
   reset: () => void;
 }
@@ -56,7 +56,7 @@
   let isRoaming = true;
 
   const addPosition = ({ group, position }: GroupPosition): void => {
-    positions.set(group, maxPosition(positions.get(group) ?? ORIGIN, position));
+    positions.set(group, getHigherPosition(positions.get(group) ?? INITIAL_POSITION, position));
   };
 
   const handlers: Record<string, (value: string) => void> = {
@@ -104,12 +104,13 @@
       return true;
     },
     addWrite: (group, position) => addPosition({ group, position }),
-    floorOf: (group, token) => {
+    resolveFloor: (group, token) => {
       if (token !== undefined) decodeToken(token).forEach(addPosition);
       if (token === undefined && !hasToken && isRoaming) return undefined;
-      return positions.get(group) ?? ORIGIN;
+      return positions.get(group) ?? INITIAL_POSITION;
     },
-    token: () => encodeToken([...positions].map(([group, position]) => ({ group, position }))),
+    createToken: () =>
+      encodeToken([...positions].map(([group, position]) => ({ group, position }))),
     reset: () => {
       positions.clear();
       kind = undefined;
--- a/packages/core/src/lib/session/statement.ts
+++ b/packages/core/src/lib/session/statement.ts
@@ -18,7 +18,7 @@
 }
 
 /** Classification of a statement. @public */
-export type StatementRequest =
+export type StatementClassification =
   | { type: 'read' }
   | { type: 'write' }
   /** A read that must run on the primary, for example because it takes locks. */
@@ -37,7 +37,7 @@
   | { type: 'unsupported'; feature: string };
 
 /** A classified statement. @public */
-export interface Statement {
-  request: StatementRequest;
+export interface ClassifiedStatement {
+  request: StatementClassification;
   options: StatementOptions;
 }
--- a/packages/core/src/test/acknowledgement.test.ts
+++ b/packages/core/src/test/acknowledgement.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest';
-import { NO_ENTRY, createScenario } from './engineScenario';
+import { NO_ENTRY_PREFIX, createScenario } from './engineScenario';
 
 describe('acknowledgement of writes', () => {
   it('acknowledges a write once a majority has stored it', () => {
@@ -19,9 +19,9 @@
     scenario.member('a1').state = 'frozen';
     scenario.pause('p1');
     scenario.runUntil(() => scenario.member('b1').role === 'primary');
-    scenario.thaw('a1');
+    scenario.unfreeze('a1');
     scenario.run(10);
-    expect(scenario.member('a1').received).toEqual([write.requestId]);
+    expect(scenario.member('a1').receivedWriteIds).toEqual([write.requestId]);
     scenario.resume('p1');
     scenario.runUntil(() => write.outcome !== undefined);
     expect(write.outcome?.status).toBe('discarded');
@@ -31,14 +31,14 @@
     // Answers from before the write completed still report the old term, so they must not confirm a
     // result of the replaced primary.
     const scenario = createScenario();
-    ['b1', 'c1'].forEach((name) => scenario.instance().unreachable.add(name));
+    ['b1', 'c1'].forEach((name) => scenario.instance().droppedMembers.add(name));
     scenario.run(10);
-    scenario.promoteElsewhere('b1', 2);
-    const write = scenario.write({ requestId: NO_ENTRY });
+    scenario.simulateExternalPromotion('b1', 2);
+    const write = scenario.write({ requestId: NO_ENTRY_PREFIX });
     scenario.run(200);
-    expect(scenario.member('a1').received).toEqual([NO_ENTRY]);
+    expect(scenario.member('a1').receivedWriteIds).toEqual([NO_ENTRY_PREFIX]);
     expect(write.outcome).toBeUndefined();
-    scenario.instance().unreachable.clear();
+    scenario.instance().droppedMembers.clear();
     scenario.runUntil(() => write.outcome !== undefined);
     expect(write.outcome?.status).toBe('discarded');
   });
@@ -47,17 +47,17 @@
     // The primary fails with two pending writes, of which only one was replicated to b1. The log that the
     // next term starts from determines both outcomes.
     const scenario = createScenario();
-    scenario.member('c1').isCutFromGroup = true;
+    scenario.member('c1').isIsolatedFromGroup = true;
     const survivor = scenario.write();
     scenario.runUntil(() => scenario.member('b1').log.length === 2);
-    scenario.member('b1').isCutFromGroup = true;
+    scenario.member('b1').isIsolatedFromGroup = true;
     const lost = scenario.write();
     scenario.runUntil(() => scenario.member('a1').log.length === 3);
     scenario.run(3);
     expect(lost.outcome).toBeUndefined();
     scenario.member('a1').state = 'down';
-    scenario.member('b1').isCutFromGroup = false;
-    scenario.member('c1').isCutFromGroup = false;
+    scenario.member('b1').isIsolatedFromGroup = false;
+    scenario.member('c1').isIsolatedFromGroup = false;
     scenario.runUntil(() => lost.outcome !== undefined && survivor.outcome !== undefined);
     expect(survivor.outcome).toEqual({ status: 'done', position: { term: 1, index: 2 } });
     expect(lost.outcome?.status).toBe('discarded');
@@ -71,15 +71,17 @@
     // has the entry, is promoted again. Reporting "discarded" would make the
     // caller repeat a write that is then applied twice.
     const scenario = createScenario();
-    ['a1', 'c1'].forEach((name) => Object.assign(scenario.member(name), { isCutFromGroup: true }));
-    scenario.member('b1').isCutFromGroup = true;
+    ['a1', 'c1'].forEach((name) =>
+      Object.assign(scenario.member(name), { isIsolatedFromGroup: true }),
+    );
+    scenario.member('b1').isIsolatedFromGroup = true;
     const write = scenario.write({ deadlineAt: scenario.now() + 10_000 });
     scenario.runUntil(() => scenario.member('a1').log.length === 2);
-    scenario.promoteElsewhere('b1', 2);
+    scenario.simulateExternalPromotion('b1', 2);
     scenario.run(50);
     scenario.member('b1').state = 'down';
-    scenario.member('a1').isCutFromGroup = false;
-    scenario.member('c1').isCutFromGroup = false;
+    scenario.member('a1').isIsolatedFromGroup = false;
+    scenario.member('c1').isIsolatedFromGroup = false;
     scenario.runUntil(() => write.outcome !== undefined);
     expect(write.outcome).toMatchObject({ status: 'done', position: { term: 1, index: 2 } });
     expect(scenario.member('a1').log[1]?.requestId).toBe(write.requestId);
@@ -89,12 +91,12 @@
     // The connection breaks after the statement ran. Repeating a write that is not repeatable, or
     // reporting "not run", would apply it twice.
     const scenario = createScenario();
-    scenario.member('a1').loseAnswers = 1;
+    scenario.member('a1').lostResponsesLeft = 1;
     const write = scenario.write({ isRepeatable: false });
     scenario.runUntil(() => write.outcome !== undefined);
     expect(write.outcome).toMatchObject({ status: 'unknown', reason: 'connectionLost' });
     scenario.run(2_000);
-    expect(scenario.member('a1').received).toEqual([write.requestId]);
+    expect(scenario.member('a1').receivedWriteIds).toEqual([write.requestId]);
   });
 
   it('reports a write as unknown once its frozen primary has been replaced', () => {
--- a/packages/core/src/test/admission.test.ts
+++ b/packages/core/src/test/admission.test.ts
@@ -3,7 +3,7 @@
   createAdmissionQueue,
   createConnectionShare,
   createRetryBudget,
-  createRunningLimit,
+  createConcurrencyLimit,
   type QueuedRequest,
 } from '../index';
 
@@ -72,7 +72,7 @@
     const queue = createAdmissionQueue({ capacity: 10 });
     for (let time = 0; time < 100; time += 1) queue.recordCompletion(100, time);
     fill(queue, 'a', 1);
-    expect(queue.nextDeadline()).toBeCloseTo(900, 0);
+    expect(queue.findNextExpiry()).toBeCloseTo(900, 0);
     expect(queue.takeNext(950)).toBeUndefined();
     expect(queue.expire(950).map(({ requestId }) => requestId)).toEqual(['a0']);
     expect(queue.length()).toBe(0);
@@ -100,7 +100,7 @@
     fill(queue, 'a', 3);
     expect(queue.takeNext(0, ({ requestId }) => requestId === 'a1')?.requestId).toBe('a1');
     const taken = queue.takeNext(0)!;
-    queue.putBack(taken);
+    queue.requeue(taken);
     expect(takeAll(queue)).toEqual(['a0', 'a2']);
     expect(queue.remove('a0')).toBeUndefined();
   });
@@ -108,45 +108,47 @@
 
 describe('retry budget', () => {
   it('limits retries during an outage to a ratio of the first attempts', () => {
-    const budget = createRetryBudget({ share: 0.1, minimumTokens: 5 });
+    const budget = createRetryBudget({ retryRatio: 0.1, minimumTokens: 5 });
     let retries = 0;
     for (let now = 0; now < 1_000; now += 1) {
-      budget.recordFirstTry(now);
-      if (budget.tryRetry(now)) retries += 1;
+      budget.recordFirstAttempt(now);
+      if (budget.trySpendRetry(now)) retries += 1;
     }
     expect(retries).toBeGreaterThan(95);
     expect(retries).toBeLessThan(107);
   });
 
   it('refills without traffic', () => {
-    const budget = createRetryBudget({ share: 0.1, minimumTokens: 1 });
-    expect([budget.tryRetry(0), budget.tryRetry(1), budget.tryRetry(10_001)]).toEqual([
-      true,
-      false,
-      true,
-    ]);
+    const budget = createRetryBudget({ retryRatio: 0.1, minimumTokens: 1 });
+    expect([
+      budget.trySpendRetry(0),
+      budget.trySpendRetry(1),
+      budget.trySpendRetry(10_001),
+    ]).toEqual([true, false, true]);
   });
 });
 
 describe('connection share', () => {
-  const limits = { connectionLimit: 30, reserved: 2 };
+  const limits = { connectionLimit: 30, reservedConnections: 2 };
 
   it('counts a new instance immediately and an unlisted one until its hold-down ends', () => {
     const share = createConnectionShare(limits);
     share.update(['p1', 'p2'], 'p1', 0);
-    expect(share.share(0)).toBe(1);
-    expect(share.share(3_000)).toBe(14);
+    expect(share.compute(0)).toBe(1);
+    expect(share.compute(3_000)).toBe(14);
     share.update(['p1', 'p2', 'p3', 'p4'], 'p1', 4_000);
-    expect(share.share(4_000)).toBe(7);
+    expect(share.compute(4_000)).toBe(7);
     share.update(['p1', 'p2'], 'p1', 5_000);
-    expect([share.share(5_000), share.share(19_999), share.share(20_000)]).toEqual([7, 7, 14]);
+    expect([share.compute(5_000), share.compute(19_999), share.compute(20_000)]).toEqual([
+      7, 7, 14,
+    ]);
   });
 
   it('shrinks once per burst of refusals and recovers by one connection at a time', () => {
     const share = createConnectionShare(limits);
     share.update(['p1', 'p2'], 'p1', 0);
     [10_000, 10_001, 10_002].forEach((now) => share.recordRefusal(now));
-    expect([10_003, 15_000, 20_000, 90_000].map((now) => share.share(now))).toEqual([
+    expect([10_003, 15_000, 20_000, 90_000].map((now) => share.compute(now))).toEqual([
       10, 11, 12, 14,
     ]);
   });
@@ -154,13 +156,13 @@
 
 describe('concurrency limit', () => {
   it('grows to all slots without queueing and shrinks to the fair share with queueing', () => {
-    const limit = createRunningLimit({ slots: 6, instances: 3 });
-    expect(limit.limit()).toBe(2);
-    for (let count = 0; count < 100; count += 1) limit.recordCompletion(5, limit.limit());
-    expect(limit.limit()).toBe(6);
-    for (let count = 0; count < 100; count += 1) limit.recordCompletion(40, limit.limit());
-    expect(limit.limit()).toBe(2);
+    const limit = createConcurrencyLimit({ slots: 6, instances: 3 });
+    expect(limit.getLimit()).toBe(2);
+    for (let count = 0; count < 100; count += 1) limit.recordCompletion(5, limit.getLimit());
+    expect(limit.getLimit()).toBe(6);
+    for (let count = 0; count < 100; count += 1) limit.recordCompletion(40, limit.getLimit());
+    expect(limit.getLimit()).toBe(2);
     limit.update({ slots: 1, instances: 7 });
-    expect(limit.limit()).toBe(1);
+    expect(limit.getLimit()).toBe(1);
   });
 });
--- a/packages/core/src/test/configuration.test.ts
+++ b/packages/core/src/test/configuration.test.ts
@@ -1,12 +1,12 @@
-import { REMEMBERED_PATCHES } from '@wisterialift/schema';
+import { MAXIMUM_RETAINED_PATCHES } from '@wisterialift/schema';
 import type { ConfigurationObject, ConfigurationPatch } from '@wisterialift/schema';
 import { describe, expect, it } from 'vitest';
 import {
   EMPTY_CONFIGURATION_OBJECT,
-  adoptConfiguration,
+  decideAdoption,
   mergePatch,
   preparePatch,
-  settlePatch,
+  findPatchStatus,
 } from '..';
 import type { PreparedPatch } from '..';
 
@@ -127,7 +127,7 @@
 
 describe('status of a submitted patch', () => {
   const findStatus = (configurationObject: ConfigurationObject, patchId: string): unknown =>
-    settlePatch({ configurationObject, patchId, againstNumber: 0 });
+    findPatchStatus({ configurationObject, patchId, againstNumber: 0 });
 
   it('distinguishes accepted, refused and pending patches', () => {
     expect(findStatus(acceptMany(3), 'patch-1')).toMatchObject({
@@ -143,7 +143,7 @@
 
   // The object lists only the latest patches, so an older one must not be reported as refused.
   it('reports that the patch history no longer covers the number', () => {
-    const presentNumber = REMEMBERED_PATCHES + 1;
+    const presentNumber = MAXIMUM_RETAINED_PATCHES + 1;
     expect(findStatus(acceptMany(presentNumber), 'patch-1')).toEqual({
       status: 'forgotten',
       presentNumber,
@@ -155,20 +155,20 @@
   // A delayed answer must not restore an older configuration, for example a revoked caller.
   it('adopts only a higher number', () => {
     const candidate = acceptMany(3);
-    expect(adoptConfiguration({ currentNumber: 2, candidate })).toMatchObject({
+    expect(decideAdoption({ currentNumber: 2, candidate })).toMatchObject({
       status: 'adopted',
     });
-    expect(adoptConfiguration({ currentNumber: 3, candidate })).toMatchObject({
+    expect(decideAdoption({ currentNumber: 3, candidate })).toMatchObject({
       status: 'notHigher',
     });
-    expect(adoptConfiguration({ currentNumber: 4, candidate })).toMatchObject({
+    expect(decideAdoption({ currentNumber: 4, candidate })).toMatchObject({
       status: 'notHigher',
     });
   });
 
   it('rejects an object that does not match the schema', () => {
     const candidate = { ...acceptMany(3), configuration: { groups: {} } };
-    expect(adoptConfiguration({ currentNumber: undefined, candidate })).toMatchObject({
+    expect(decideAdoption({ currentNumber: undefined, candidate })).toMatchObject({
       status: 'invalid',
     });
   });
--- a/packages/core/src/test/engine.test.ts
+++ b/packages/core/src/test/engine.test.ts
@@ -73,7 +73,7 @@
     scenario.handle({ type: 'drainStarted' });
     scenario.member('a1').state = 'down';
     scenario.run(3_000);
-    expect(scenario.recordsOf('termFenced')).toEqual([]);
+    expect(scenario.findRecords('termFenced')).toEqual([]);
   });
 
   it('sends no reads to a leaving replica', () => {
--- a/packages/core/src/test/engineScenario.ts
+++ b/packages/core/src/test/engineScenario.ts
@@ -1,4 +1,10 @@
-import type { Database, MemberStatus, Outcome, Position, TermStart } from '@wisterialift/schema';
+import type {
+  Database,
+  MemberStatus,
+  RequestOutcome,
+  Position,
+  TermStart,
+} from '@wisterialift/schema';
 import { DEFAULT_ENGINE_POLICY, createGroupEngine } from '../index';
 import type {
   EngineEffect,
@@ -27,24 +33,24 @@
   lastFollowedTerm: number;
   state: 'up' | 'frozen' | 'down';
   /** Disables replication from and to the member; instances can still connect. */
-  isCutFromGroup: boolean;
+  isIsolatedFromGroup: boolean;
   lagMilliseconds: number;
   /** Number of statements whose connection breaks after they have run. */
-  loseAnswers: number;
+  lostResponsesLeft: number;
   /** Requests received while frozen, processed when the member resumes. */
   pendingDeliveries: (() => void)[];
   /** Writes received, including refused ones. */
-  received: string[];
+  receivedWriteIds: string[];
 }
 
 /** Tracks a request sent by a test. */
 export interface RequestHandle {
   requestId: string;
-  outcome: Outcome | undefined;
+  outcome: RequestOutcome | undefined;
   /** Members to which attempts were sent. */
   sentTo: string[];
   /** Requests whose log entries were visible to the last attempt. */
-  seen: string[];
+  visibleRequestIds: string[];
 }
 
 interface FakeInstance {
@@ -55,7 +61,7 @@
   pendingEvents: EngineEvent[];
   records: EngineRecord[];
   /** Members whose control requests from this instance are dropped without a response. */
-  unreachable: Set<string>;
+  droppedMembers: Set<string>;
   /** Members that do not receive its fence commands. */
   lostFences: Set<string>;
   /** Members that do not receive its follow commands. */
@@ -83,7 +89,7 @@
 const FIRST_ENTRY: Entry = { term: 1, requestId: '', appendedAt: 0 };
 const MEMBER_NAMES = ['a1', 'b1', 'c1'];
 /** Request id prefix of writes that change no rows and write no log entry. */
-export const NO_ENTRY = 'no-entry';
+export const NO_ENTRY_PREFIX = 'no-entry';
 const LINK_MILLISECONDS = 2;
 const SLOW_LINK_MILLISECONDS = 120;
 const REPLICATION_MILLISECONDS = 2;
@@ -123,7 +129,7 @@
     const lostFences = new Set<string>();
     const lostFollows = new Set<string>();
     const state = { timerAt: Infinity, isPaused: false, pendingEvents: [], records: [] };
-    return { name, engine, unreachable, lostFences, lostFollows, ...state };
+    return { name, engine, droppedMembers: unreachable, lostFences, lostFollows, ...state };
   }
 
   function member(name: string): FakeMember {
@@ -147,7 +153,7 @@
     });
   }
 
-  function thaw(name: string): void {
+  function unfreeze(name: string): void {
     const resumed = member(name);
     resumed.state = 'up';
     resumed.pendingDeliveries.splice(0).forEach((deliver) => deliver());
@@ -249,7 +255,7 @@
     { questionId, member: name }: { questionId: number; member: string },
     apply: (database: FakeMember) => boolean,
   ): void {
-    if (isLost() || target.unreachable.has(name)) return;
+    if (isLost() || target.droppedMembers.has(name)) return;
     deliverTo(name, (database) => {
       if (database.state === 'down') {
         schedule(computeLinkDelay(), () =>
@@ -293,16 +299,16 @@
       access: EngineRequest['access'];
     };
     if (database.state === 'down') return { kind: 'refused', reason: 'connectFailed' };
-    request.seen = database.log.map((entry) => entry.requestId);
+    request.visibleRequestIds = database.log.map((entry) => entry.requestId);
     const isWrite = request.access === 'write' || request.access === 'commit';
     if (isWrite) {
-      database.received.push(requestId);
+      database.receivedWriteIds.push(requestId);
       if (database.role !== 'primary') return { kind: 'refused', reason: 'notPrimary' };
-      if (requestId.startsWith(NO_ENTRY)) return { kind: 'completed' };
+      if (requestId.startsWith(NO_ENTRY_PREFIX)) return { kind: 'completed' };
       database.log.push({ term: database.currentTerm, requestId, appendedAt: now });
     }
-    if (database.loseAnswers > 0) {
-      Object.assign(database, { loseAnswers: database.loseAnswers - 1 });
+    if (database.lostResponsesLeft > 0) {
+      Object.assign(database, { lostResponsesLeft: database.lostResponsesLeft - 1 });
       return { kind: 'lost', answerStarted: false };
     }
     return isWrite
@@ -314,7 +320,11 @@
     const primary = members.get(replica.following ?? '');
     if (!primary || primary.role !== 'primary') return;
     if (primary.currentTerm !== replica.currentTerm) return;
-    if ([primary, replica].some(({ state, isCutFromGroup }) => state !== 'up' || isCutFromGroup)) {
+    if (
+      [primary, replica].some(
+        ({ state, isIsolatedFromGroup }) => state !== 'up' || isIsolatedFromGroup,
+      )
+    ) {
       return;
     }
     const isPrefix = replica.log.at(-1) === primary.log[replica.log.length - 1];
@@ -381,7 +391,13 @@
       isRepeatable: true,
       ...draft,
     };
-    const created = { requestId, outcome: undefined, sentTo: [], seen: [], access: draft.access };
+    const created = {
+      requestId,
+      outcome: undefined,
+      sentTo: [],
+      visibleRequestIds: [],
+      access: draft.access,
+    };
     requestHandles.set(requestId, created);
     handle(instance(instanceName), { type: 'requestArrived', request });
     return created as RequestHandle;
@@ -402,14 +418,14 @@
   }
 
   /** Simulates a promotion by an instance outside the scenario, unnoticed by the old primary. */
-  function promoteElsewhere(name: string, term: number, group = ['b1', 'c1']): void {
+  function simulateExternalPromotion(name: string, term: number, group = ['b1', 'c1']): void {
     group.forEach((each) => {
       Object.assign(member(each), { currentTerm: term, following: name, role: 'replica' });
     });
     promote(member(name), term);
   }
 
-  function recordsOf(name: EngineRecord['name'], instanceName?: string): EngineRecord[] {
+  function findRecords(name: EngineRecord['name'], instanceName?: string): EngineRecord[] {
     const targets = instanceName ? [instance(instanceName)] : [...instances.values()];
     return targets.flatMap(({ records }) => records.filter((record) => record.name === name));
   }
@@ -437,10 +453,10 @@
     run,
     runUntil,
     pause,
-    thaw,
-    promoteElsewhere,
+    unfreeze,
+    simulateExternalPromotion,
     resume,
-    recordsOf,
+    findRecords,
     changeDatabase,
     changeDatabases,
     write: (draft: Partial<EngineRequest> = {}, instanceName?: string) =>
@@ -448,7 +464,7 @@
     read: (draft: Partial<EngineRequest> = {}, instanceName?: string) =>
       send({ access: 'read', ...draft }, instanceName),
     send,
-    primaries: () => [...members.values()].filter(({ role }) => role === 'primary'),
+    findPrimaries: () => [...members.values()].filter(({ role }) => role === 'primary'),
     /** Number of status requests sent by all instances. */
     statusRequestCount: () => statusRequestCount,
     now: () => now,
@@ -464,11 +480,11 @@
     following: name === 'a1' ? undefined : 'a1',
     lastFollowedTerm: name === 'a1' ? 0 : 1,
     state: 'up',
-    isCutFromGroup: false,
+    isIsolatedFromGroup: false,
     lagMilliseconds: REPLICATION_MILLISECONDS,
-    loseAnswers: 0,
+    lostResponsesLeft: 0,
     pendingDeliveries: [],
-    received: [],
+    receivedWriteIds: [],
   };
 }
 
--- a/packages/core/src/test/failover.test.ts
+++ b/packages/core/src/test/failover.test.ts
@@ -4,15 +4,15 @@
 describe('failover', () => {
   it('promotes the most advanced replica when the primary is down', () => {
     const scenario = createScenario();
-    scenario.member('b1').isCutFromGroup = true;
+    scenario.member('b1').isIsolatedFromGroup = true;
     const before = scenario.write();
     scenario.runUntil(() => before.outcome !== undefined);
     scenario.member('a1').state = 'down';
-    scenario.member('b1').isCutFromGroup = false;
+    scenario.member('b1').isIsolatedFromGroup = false;
     const after = scenario.write();
     scenario.runUntil(() => after.outcome !== undefined);
     expect(after.outcome?.status).toBe('done');
-    expect(scenario.primaries().map(({ name }) => name)).toContain('c1');
+    expect(scenario.findPrimaries().map(({ name }) => name)).toContain('c1');
     scenario.runUntil(() => scenario.member('b1').log.length === 4);
     expect(scenario.member('b1').log.map(({ requestId }) => requestId)).toEqual([
       '',
@@ -25,8 +25,8 @@
   it('attaches a former primary as a replica after it resumes', () => {
     const scenario = createScenario();
     scenario.member('a1').state = 'frozen';
-    scenario.runUntil(() => scenario.primaries().length === 2);
-    scenario.thaw('a1');
+    scenario.runUntil(() => scenario.findPrimaries().length === 2);
+    scenario.unfreeze('a1');
     scenario.runUntil(() => scenario.member('a1').role === 'replica');
     scenario.runUntil(() => scenario.member('a1').log.at(-1)?.term === 2);
   });
@@ -34,10 +34,10 @@
   it('replaces a primary that responds but cannot replicate', () => {
     // Guards against writes hanging until their deadline at an isolated primary.
     const scenario = createScenario();
-    scenario.member('a1').isCutFromGroup = true;
+    scenario.member('a1').isIsolatedFromGroup = true;
     const held = scenario.write();
     const after = (() => {
-      scenario.runUntil(() => scenario.primaries().some(({ name }) => name !== 'a1'));
+      scenario.runUntil(() => scenario.findPrimaries().some(({ name }) => name !== 'a1'));
       return scenario.write();
     })();
     scenario.runUntil(() => after.outcome !== undefined && held.outcome !== undefined);
@@ -49,18 +49,18 @@
     // Guards against counting the isolated primary towards the majority that ends the verification,
     // which fenced a primary that another instance had just promoted.
     const scenario = createScenario();
-    scenario.member('a1').isCutFromGroup = true;
+    scenario.member('a1').isIsolatedFromGroup = true;
     scenario.member('c1').lagMilliseconds = 2_000;
     scenario.write();
-    scenario.runUntil(() => scenario.recordsOf('primarySuspected').length > 0);
-    scenario.instance().unreachable.add('b1');
-    scenario.promoteElsewhere('b1', 2);
+    scenario.runUntil(() => scenario.findRecords('primarySuspected').length > 0);
+    scenario.instance().droppedMembers.add('b1');
+    scenario.simulateExternalPromotion('b1', 2);
     scenario.run(350);
-    scenario.instance().unreachable.delete('b1');
-    scenario.runUntil(() => scenario.recordsOf('primaryLearned').length === 2);
-    expect(scenario.recordsOf('fenceFailed')).toEqual([]);
-    expect(scenario.recordsOf('termFenced')).toEqual([]);
-    expect(scenario.primaries().map(({ name }) => name)).toContain('b1');
+    scenario.instance().droppedMembers.delete('b1');
+    scenario.runUntil(() => scenario.findRecords('primaryLearned').length === 2);
+    expect(scenario.findRecords('fenceFailed')).toEqual([]);
+    expect(scenario.findRecords('termFenced')).toEqual([]);
+    expect(scenario.findPrimaries().map(({ name }) => name)).toContain('b1');
     expect(scenario.member('c1').currentTerm).toBe(2);
   });
 
@@ -71,7 +71,7 @@
       scenario.write();
       scenario.run(200);
     }
-    expect(scenario.recordsOf('primarySuspected')).toEqual([]);
+    expect(scenario.findRecords('primarySuspected')).toEqual([]);
     expect(scenario.member('a1').currentTerm).toBe(1);
   });
 
@@ -87,18 +87,18 @@
       return write.outcome?.status;
     });
     expect(outcomes.slice(-5)).toEqual(Array(5).fill('done'));
-    expect(scenario.recordsOf('primaryPromoted').length).toBeLessThanOrEqual(2);
+    expect(scenario.findRecords('primaryPromoted').length).toBeLessThanOrEqual(2);
   });
 
   it('keeps a primary that only this instance cannot reach', () => {
     // Guards against one broken link causing a failover while replicas still receive the log.
     const scenario = createScenario({ instances: ['p1', 'p2'] });
-    scenario.instance('p1').unreachable.add('a1');
+    scenario.instance('p1').droppedMembers.add('a1');
     for (let count = 0; count < 100; count += 1) {
       scenario.write({}, 'p2');
       scenario.run(50);
     }
-    expect(scenario.recordsOf('termFenced')).toEqual([]);
+    expect(scenario.findRecords('termFenced')).toEqual([]);
   });
 
   it('keeps the primary after a pause of the instance', () => {
@@ -111,8 +111,8 @@
       scenario.resume();
     }
     scenario.run(2_000);
-    expect(scenario.recordsOf('termFenced')).toEqual([]);
-    expect(scenario.recordsOf('primarySuspected')).toEqual([]);
+    expect(scenario.findRecords('termFenced')).toEqual([]);
+    expect(scenario.findRecords('primarySuspected')).toEqual([]);
     expect(scenario.member('a1').currentTerm).toBe(1);
   });
 
@@ -120,7 +120,7 @@
     // Guards against treating single lost requests or responses as a failure of the primary.
     const scenario = createScenario({ lossRate: 0.05 });
     scenario.run(120_000);
-    expect(scenario.recordsOf('termFenced')).toEqual([]);
+    expect(scenario.findRecords('termFenced')).toEqual([]);
     expect(scenario.member('a1').currentTerm).toBe(1);
   }, 60_000);
 
@@ -130,14 +130,14 @@
       // Guards against split brain when an instance counts a lost response, or a grant made to another
       // instance, as its own.
       const scenario = createScenario({ instances: ['p1', 'p2', 'p3'], seed, lossRate: 0.2 });
-      scenario.instance('p2').unreachable.add('c1');
+      scenario.instance('p2').droppedMembers.add('c1');
       scenario.member('a1').state = 'down';
       const writes = ['p1', 'p2', 'p3'].map((at) => scenario.write({}, at));
       const primariesByTerm = new Map<number, Set<string>>();
       for (let elapsed = 0; elapsed < 6_000; elapsed += 1) {
         scenario.run(1);
         scenario
-          .primaries()
+          .findPrimaries()
           .filter(({ state }) => state === 'up')
           .forEach(({ name, currentTerm }) => {
             const names = primariesByTerm.get(currentTerm) ?? new Set();
@@ -146,7 +146,7 @@
       }
       expect([...primariesByTerm.values()].filter(({ size }) => size > 1)).toEqual([]);
       expect(writes.map(({ outcome }) => outcome?.status)).not.toContain(undefined);
-      const log = scenario.primaries().find(({ state }) => state === 'up')?.log ?? [];
+      const log = scenario.findPrimaries().find(({ state }) => state === 'up')?.log ?? [];
       writes
         .filter(({ outcome }) => outcome?.status === 'done')
         .forEach(({ requestId }) =>
@@ -162,10 +162,10 @@
     scenario.instance('p2').lostFences.add('b1');
     scenario.member('a1').state = 'down';
     scenario.run(4_000);
-    expect(scenario.recordsOf('fenceFailed').length).toBeGreaterThan(0);
-    expect(scenario.recordsOf('primaryPromoted')).toEqual([]);
+    expect(scenario.findRecords('fenceFailed').length).toBeGreaterThan(0);
+    expect(scenario.findRecords('primaryPromoted')).toEqual([]);
     scenario.instance('p1').lostFences.clear();
-    scenario.runUntil(() => scenario.recordsOf('primaryPromoted').length > 0);
+    scenario.runUntil(() => scenario.findRecords('primaryPromoted').length > 0);
   });
 
   it('recovers a group that was fenced but has no primary', () => {
--- a/packages/core/src/test/idleGroup.test.ts
+++ b/packages/core/src/test/idleGroup.test.ts
@@ -23,7 +23,7 @@
     const scenario = createScenario();
     scenario.run(5_000);
     scenario.member('a1').state = state;
-    const waited = scenario.runUntil(() => scenario.recordsOf('primaryPromoted').length === 1);
+    const waited = scenario.runUntil(() => scenario.findRecords('primaryPromoted').length === 1);
     expect(waited).toBeLessThan(3_000);
   });
 
--- a/packages/core/src/test/membership.test.ts
+++ b/packages/core/src/test/membership.test.ts
@@ -2,14 +2,14 @@
 import { describe, expect, it } from 'vitest';
 import {
   LEAVING_OVERRIDE_MILLISECONDS,
-  chooseAudience,
-  chooseSources,
+  chooseForwardingTargets,
+  orderWatchersToQuery,
   chooseWatchers,
   createInstanceView,
-  instancesOf,
+  listInstances,
   isWatcher,
   mergeInstanceList,
-  mergeLeaving,
+  markLeaving,
   orderByRendezvous,
 } from '..';
 import type { ConfigurationSource, InstanceView } from '..';
@@ -37,7 +37,9 @@
 }
 
 function describeInstances(view: InstanceView): string[] {
-  return instancesOf(view).map(({ name, state }) => (state === 'live' ? name : `${name} leaving`));
+  return listInstances(view).map(({ name, state }) =>
+    state === 'live' ? name : `${name} leaving`,
+  );
 }
 
 describe('rendezvous hashing', () => {
@@ -92,7 +94,7 @@
   const other = instances.slice(0, 3).find(({ name }) => !watchers.includes(name))!;
 
   function listRecipientNames(sender: Instance, source: ConfigurationSource): string[] {
-    return chooseAudience({ self: sender, instances, source }).map(({ name }) => name);
+    return chooseForwardingTargets({ self: sender, instances, source }).map(({ name }) => name);
   }
 
   it('goes from a submitter to its data centre and the watchers of the others', () => {
@@ -113,7 +115,7 @@
   });
 
   it('uses the watchers of the data centre as sources, and watches if none is known', () => {
-    const sources = chooseSources({ self, instances }).map(({ name }) => name);
+    const sources = orderWatchersToQuery({ self, instances }).map(({ name }) => name);
     expect(sources.sort()).toEqual(watchers.filter((name) => name !== 'p1').sort());
     expect(isWatcher({ self, instances })).toBe(watchers.includes('p1'));
     expect(isWatcher({ self, instances: [] })).toBe(true);
@@ -150,7 +152,7 @@
 
   // An older list must not direct new requests to an instance that is about to stop.
   it('lets an announced departure override older lists for a limited time', () => {
-    const departed = mergeLeaving({ view: viewAfter([['p2']]), name: 'p2', now: 0 });
+    const departed = markLeaving({ view: viewAfter([['p2']]), name: 'p2', now: 0 });
     expect(describeInstances(viewAfter([['p2']], departed))).toEqual(['p1', 'p2 leaving']);
     const later = mergeInstanceList({
       view: departed,
--- a/packages/core/src/test/reads.test.ts
+++ b/packages/core/src/test/reads.test.ts
@@ -39,7 +39,7 @@
     for (let count = 0; count < 10; count += 1) {
       const read = scenario.read({}, 'p2');
       scenario.runUntil(() => read.outcome !== undefined);
-      expect(read.seen).toContain(write.requestId);
+      expect(read.visibleRequestIds).toContain(write.requestId);
       expect(read.sentTo).not.toContain('b1');
     }
   });
@@ -52,7 +52,7 @@
     const position = write.outcome?.status === 'done' ? write.outcome.position : undefined;
     const read = scenario.read({ token: position as NonNullable<typeof position> });
     scenario.runUntil(() => read.outcome !== undefined);
-    expect(read.seen).toContain(write.requestId);
+    expect(read.visibleRequestIds).toContain(write.requestId);
   });
 
   it('does not send a read with a token to a member in a higher term whose log lacks the write', () => {
@@ -60,30 +60,30 @@
     // position has a higher term than the entry, but comparing positions alone is not sufficient.
     const scenario = createScenario();
     ['a1', 'b1', 'c1'].forEach((name) =>
-      Object.assign(scenario.member(name), { isCutFromGroup: true }),
+      Object.assign(scenario.member(name), { isIsolatedFromGroup: true }),
     );
     const write = scenario.write({ deadlineAt: scenario.now() + 20_000 });
     scenario.runUntil(() => scenario.member('a1').log.length === 2);
-    scenario.promoteElsewhere('b1', 2);
+    scenario.simulateExternalPromotion('b1', 2);
     scenario.instance().lostFences.add('b1');
     scenario.instance().lostFollows.add('b1');
     ['a1', 'c1'].forEach((name) =>
-      Object.assign(scenario.member(name), { isCutFromGroup: false, currentTerm: 2 }),
+      Object.assign(scenario.member(name), { isIsolatedFromGroup: false, currentTerm: 2 }),
     );
-    scenario.promoteElsewhere('a1', 3, ['a1', 'c1']);
+    scenario.simulateExternalPromotion('a1', 3, ['a1', 'c1']);
     scenario.runUntil(() => write.outcome !== undefined);
     expect(write.outcome).toMatchObject({ status: 'done', position: { term: 1, index: 2 } });
     const read = scenario.read({ token: { term: 1, index: 2 } });
     scenario.runUntil(() => read.outcome !== undefined);
     expect(scenario.member('b1').log.at(-1)?.term).toBe(2);
-    expect(read.seen).toContain(write.requestId);
+    expect(read.visibleRequestIds).toContain(write.requestId);
   });
 
   it('serves stale reads from a replica until the accepted staleness is exceeded', () => {
     // A replica whose replication has stopped still answers promptly, but its data becomes too old.
     const scenario = createScenario();
     const kind = { maximumStalenessMilliseconds: 2_000 };
-    scenario.member('b1').isCutFromGroup = true;
+    scenario.member('b1').isIsolatedFromGroup = true;
     const cutAt = scenario.now();
     const served: { age: number; sentTo: string[] }[] = [];
     for (let count = 0; count < 40; count += 1) {
@@ -116,7 +116,7 @@
     expect(accepting.sentTo).toEqual(['b1']);
     expect(stricter.sentTo).toEqual(['c1']);
     const requiredWrite = writes.filter(({ at }) => at < askedAt - 45_000).at(-1);
-    expect(accepting.seen).toContain(requiredWrite?.requestId);
+    expect(accepting.visibleRequestIds).toContain(requiredWrite?.requestId);
   }, 60_000);
 
   it('serves only stale reads while two databases are down', () => {
@@ -134,7 +134,7 @@
 
   it('repeats a read on another member when its answer is lost', () => {
     const scenario = createScenario();
-    scenario.member('b1').loseAnswers = 1;
+    scenario.member('b1').lostResponsesLeft = 1;
     const read = scenario.read();
     scenario.runUntil(() => read.outcome !== undefined);
     expect(read.outcome?.status).toBe('done');
@@ -165,7 +165,7 @@
     const [, second] = read.sentTo as [string, string];
     scenario.member(second).state = 'frozen';
     scenario.run(2_000);
-    scenario.thaw(second);
+    scenario.unfreeze(second);
     scenario.runUntil(() => read.outcome !== undefined);
     expect(read.outcome?.status).toBe('done');
     expect(read.sentTo).toEqual(['b1', second]);
--- a/packages/core/src/test/session.test.ts
+++ b/packages/core/src/test/session.test.ts
@@ -92,20 +92,22 @@
   it('has a floor only if the caller supplies a token or roaming is off', () => {
     const session = createSession();
     session.addWrite(group, { term: 1, index: 5 });
-    expect(session.floorOf(group)).toBeUndefined();
+    expect(session.resolveFloor(group)).toBeUndefined();
 
     const token = encodeToken([{ group, position: { term: 1, index: 9 } }]);
-    expect(session.floorOf(group, token)).toEqual({ term: 1, index: 9 });
-    expect(session.floorOf(group)).toBeUndefined();
+    expect(session.resolveFloor(group, token)).toEqual({ term: 1, index: 9 });
+    expect(session.resolveFloor(group)).toBeUndefined();
 
     session.assign(set('roaming', '0'));
-    expect(session.floorOf(group)).toEqual({ term: 1, index: 9 });
-    expect(decodeToken(session.token())).toEqual([{ group, position: { term: 1, index: 9 } }]);
+    expect(session.resolveFloor(group)).toEqual({ term: 1, index: 9 });
+    expect(decodeToken(session.createToken())).toEqual([
+      { group, position: { term: 1, index: 9 } },
+    ]);
 
     session.reset();
     session.assign(set('token', token));
     session.addWrite(group, { term: 2, index: 1 });
-    expect(session.floorOf(group)).toEqual({ term: 2, index: 1 });
+    expect(session.resolveFloor(group)).toEqual({ term: 2, index: 1 });
   });
 
   it('rejects unknown variables and invalid values', () => {
--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -27,14 +27,14 @@
 export { createProcessClock, type CancelTimer, type Clock } from './lib/ports/clock';
 export {
   type ConfigurationPort,
-  type DirectoryAge,
+  type DirectoryFreshness,
   type DirectoryEntry,
   type DirectoryPort,
-  type OrderOutcome,
-  type PromotionOrders,
+  type PromotionOrderOutcome,
+  type PromotionOrderClient,
   type PromotionStore,
-  type ReplaceOutcome,
-  type StoredRecord,
+  type ReplacementOutcome,
+  type StoredPromotionRecord,
 } from './lib/ports/platformPort';
 export {
   type UpstreamConnection,
--- a/packages/gateway/src/lib/configuration/activeConfiguration.ts
+++ b/packages/gateway/src/lib/configuration/activeConfiguration.ts
@@ -71,7 +71,7 @@
           resolve(isActive);
         }
         waiters.add(wake);
-        cancelTimer = clock.after(milliseconds, () => settle(false));
+        cancelTimer = clock.runAfter(milliseconds, () => settle(false));
       }),
   };
 }
--- a/packages/gateway/src/lib/createGateway.ts
+++ b/packages/gateway/src/lib/createGateway.ts
@@ -1,18 +1,18 @@
 import type { Logger } from '@wisterialift/telemetry';
 import type { GatewayConfiguration } from './configuration/gatewayConfiguration';
 import { createActiveConfiguration } from './configuration/activeConfiguration';
-import { createDirectoryCache } from './directory/directoryBook';
-import type { GroupAccess } from './groups/groupAccess';
-import { createGroupTask } from './groups/groupTask';
-import type { GroupTask } from './groups/groupTask';
-import type { Mechanism, UsesMechanism } from './mechanisms';
+import { createDirectoryCache } from './directory/directoryCache';
+import type { StatementRunner } from './groups/statementRunner';
+import { createGroupRouter } from './groups/groupRouter';
+import type { GroupRouter } from './groups/groupRouter';
+import type { Mechanism, IsMechanismEnabled } from './mechanisms';
 import type { CallerAcceptor } from './ports/callerPort';
 import type { Clock } from './ports/clock';
 import type { InstanceRegistry, RelayTransport } from './ports/instancePort';
 import type {
   ConfigurationPort,
   DirectoryPort,
-  PromotionOrders,
+  PromotionOrderClient,
   PromotionStore,
 } from './ports/platformPort';
 import type { UpstreamDriver } from './ports/upstreamPort';
@@ -25,14 +25,14 @@
 /** Grace periods of shutdowns, directory outages and leaving members, in milliseconds. @public */
 export interface GatewayTimes {
   /** Time between the request to stop and the forced end of the process. */
-  stopGrace: number;
+  stopGracePeriodMilliseconds: number;
   /**
    * Time for which a member is kept after its entry is missing from the directory; covers the
    * return of lapsed entries after an outage.
    */
-  missingGrace: number;
+  missingMemberRetentionMilliseconds: number;
   /** Time after which a leaving member must not receive new statements. */
-  leavingBound: number;
+  leavingGracePeriodMilliseconds: number;
 }
 
 /** Identity, limits and platform services of one instance. @public */
@@ -46,13 +46,13 @@
   directory: DirectoryPort;
   configuration: ConfigurationPort;
   store: PromotionStore;
-  orders: PromotionOrders;
+  orders: PromotionOrderClient;
   registry: InstanceRegistry;
   transport: RelayTransport;
   /** Returns a uniform number in [0, 1), used for jitter. */
   random: () => number;
   /** Mechanisms disabled for an experiment. */
-  without?: ReadonlySet<Mechanism>;
+  disabledMechanisms?: ReadonlySet<Mechanism>;
   onAnswered: (sample: AnswerSample) => void;
 }
 
@@ -69,8 +69,8 @@
    * @param stopAccepting - called once the load balancer no longer sends new callers.
    */
   drain: (stopAccepting: () => void) => Promise<void>;
-  counters: () => Record<string, GroupTask['counters']>;
-  sessionCount: () => number;
+  getCounters: () => Record<string, GroupRouter['counters']>;
+  countSessions: () => number;
   close: () => void;
 }
 
@@ -101,9 +101,9 @@
 export function createGateway(options: GatewayOptions): Gateway {
   const { clock, logger, registry, times, transport } = options;
   /** Run statements over this instance's own connections. */
-  const localGroups = new Map<string, GroupTask>();
+  const localGroups = new Map<string, GroupRouter>();
   /** Relay statements to the holders of a group's connections. */
-  const relayedGroups = new Map<string, GroupAccess>();
+  const relayedGroups = new Map<string, StatementRunner>();
   const sessions = new Set<CallerSession>();
   const configuration = createActiveConfiguration({
     clock,
@@ -114,12 +114,13 @@
   let isDraining = false;
   let clockOffset = getClockOffset(clock);
 
-  const uses: UsesMechanism = (mechanism) => !options.without?.has(mechanism);
+  const isMechanismEnabled: IsMechanismEnabled = (mechanism) =>
+    !options.disabledMechanisms?.has(mechanism);
 
   // Clocks are checked before each statement: after a suspension, old positions would look fresh.
   const relay = createRelayService({
     configuration,
-    findGroup: (group) => {
+    findRunner: (group) => {
       checkClockDrift();
       return localGroups.get(group);
     },
@@ -129,17 +130,17 @@
   });
   const holders = createHolderSelector({
     ...options,
-    uses,
+    isMechanismEnabled,
     onHoldersAssigned: () => transport.listen(relay.accept),
   });
 
-  const stopClockChecks = clock.every(CLOCK_CHECK_INTERVAL_MILLISECONDS, checkClockDrift);
-  registry.follow(holders.updateInstances);
-  options.configuration.follow(configuration.adopt);
-  options.directory.follow({
-    onChange: (entries, age) => {
-      cache.update(entries, age);
-      for (const [group, task] of localGroups) task.updateMembers(cache.getEntries(group));
+  const stopClockChecks = clock.runEvery(CLOCK_CHECK_INTERVAL_MILLISECONDS, checkClockDrift);
+  registry.registerInstance(holders.updateInstances);
+  options.configuration.subscribe(configuration.adopt);
+  options.directory.subscribe({
+    onChange: (entries, freshness) => {
+      cache.update(entries, freshness);
+      for (const [group, router] of localGroups) router.updateMembers(cache.getEntries(group));
     },
     // An instance that sends no statements to members can use delayed directory reads.
     isPrompt: () => localGroups.size === 0 || isDirectoryNeeded(),
@@ -156,7 +157,7 @@
   async function refreshDirectory(): Promise<void> {
     directoryNeededUntil = clock.now() + PROMPT_DIRECTORY_DURATION_MILLISECONDS;
     const until = clock.now() + REFRESH_TIMEOUT_MILLISECONDS;
-    while (!cache.isFresh() && clock.now() < until) await clock.pause(REFRESH_POLL_MILLISECONDS);
+    while (!cache.isFresh() && clock.now() < until) await clock.sleep(REFRESH_POLL_MILLISECONDS);
   }
 
   function handleConfigurationChange(
@@ -170,28 +171,28 @@
     });
     for (const limits of next.groups.values()) {
       holders.updateLimits(limits.name, limits.maximumConnections);
-      const task = localGroups.get(limits.name);
-      if (task) task.updateLimits(limits);
+      const router = localGroups.get(limits.name);
+      if (router) router.updateLimits(limits);
       else openGroup(limits.name, limits);
     }
   }
 
   function openGroup(group: string, limits: { name: string; maximumConnections: number }): void {
-    const task = createGroupTask({
+    const router = createGroupRouter({
       ...options,
       group,
       limits,
-      uses,
+      isMechanismEnabled,
       isHolder: () => holders.isHolder(group),
-      countSharers: () => holders.countConnectedInstances(group),
+      countConnectedInstances: () => holders.countConnectedInstances(group),
       areInstancesKnown: holders.isReady,
-      missingGrace: times.missingGrace,
-      leavingBound: times.leavingBound,
+      missingMemberRetentionMilliseconds: times.missingMemberRetentionMilliseconds,
+      leavingGracePeriodMilliseconds: times.leavingGracePeriodMilliseconds,
     });
-    localGroups.set(group, task);
-    const access = createRelayedGroup({
+    localGroups.set(group, router);
+    const runner = createRelayedGroup({
       group,
-      local: task,
+      local: router,
       holders,
       configuration,
       refreshDirectory,
@@ -199,8 +200,8 @@
       random: options.random,
       logger,
     });
-    relayedGroups.set(group, access);
-    if (cache.isLoaded()) task.updateMembers(cache.getEntries(group));
+    relayedGroups.set(group, runner);
+    if (cache.isLoaded()) router.updateMembers(cache.getEntries(group));
   }
 
   /**
@@ -213,7 +214,7 @@
     clockOffset = currentOffset;
     if (change < CLOCK_DRIFT_THRESHOLD_MILLISECONDS) return;
     logger.warn('clocksDisagree', { changeMilliseconds: Math.round(change) });
-    for (const task of localGroups.values()) task.forgetAges();
+    for (const router of localGroups.values()) router.clearPositionSamples();
   }
 
   const acceptCaller: CallerAcceptor = (link) => {
@@ -222,7 +223,7 @@
       clock,
       logger,
       configuration,
-      findGroup: (group) => {
+      findRunner: (group) => {
         checkClockDrift();
         return relayedGroups.get(group);
       },
@@ -235,7 +236,7 @@
 
   function isReady(): boolean {
     if (isDraining || !configuration.get() || !cache.isLoaded() || !holders.isReady()) return false;
-    return [...localGroups.values()].some((task) => task.isUsable());
+    return [...localGroups.values()].some((router) => router.isUsable());
   }
 
   async function drain(stopAccepting: () => void): Promise<void> {
@@ -246,17 +247,17 @@
     relay.announceDrain();
     let isAccepting = true;
     const hasWork = () => isAccepting || sessions.size > 0 || relay.countActiveWork() > 0;
-    while (elapsed() < times.stopGrace * DRAIN_END_GRACE_FRACTION && hasWork()) {
+    while (elapsed() < times.stopGracePeriodMilliseconds * DRAIN_END_GRACE_FRACTION && hasWork()) {
       if (elapsed() >= LOAD_BALANCER_DELAY_MILLISECONDS) {
         if (isAccepting) stopAccepting();
         isAccepting = false;
         for (const session of [...sessions]) session.drain();
       }
-      if (elapsed() >= times.stopGrace * TRANSACTION_ABORT_GRACE_FRACTION) {
+      if (elapsed() >= times.stopGracePeriodMilliseconds * TRANSACTION_ABORT_GRACE_FRACTION) {
         for (const session of [...sessions]) session.abortTransaction();
         relay.abortTransactions();
       }
-      await clock.pause(DRAIN_POLL_INTERVAL_MILLISECONDS);
+      await clock.sleep(DRAIN_POLL_INTERVAL_MILLISECONDS);
     }
     logger.info('drainEnded', { sessions: sessions.size });
   }
@@ -265,19 +266,19 @@
     acceptCaller,
     isReady,
     drain,
-    counters: () =>
-      Object.fromEntries([...localGroups].map(([group, task]) => [group, task.counters])),
-    sessionCount: () => sessions.size,
+    getCounters: () =>
+      Object.fromEntries([...localGroups].map(([group, router]) => [group, router.counters])),
+    countSessions: () => sessions.size,
     close: () => {
       stopClockChecks();
       holders.close();
       transport.close();
-      for (const task of localGroups.values()) task.close();
+      for (const router of localGroups.values()) router.close();
     },
   };
 }
 
 function getClockOffset(clock: Clock): number {
-  const { steady, wall } = clock.readings();
-  return wall - steady;
+  const { monotonic, wall } = clock.readClocks();
+  return wall - monotonic;
 }
--- a/packages/gateway/src/lib/directory/directoryBook.ts
+++ b/packages/gateway/src/lib/directory/directoryCache.ts
@@ -1,18 +1,18 @@
-import { LONG_AGO } from '@wisterialift/pooling';
+import { DISTANT_PAST_READINGS } from '@wisterialift/pooling';
 import type { ClockReadings } from '@wisterialift/pooling';
 import type { Clock } from '../ports/clock';
-import type { DirectoryAge, DirectoryEntry } from '../ports/platformPort';
+import type { DirectoryFreshness, DirectoryEntry } from '../ports/platformPort';
 
 /** A directory entry and the time since which the member may have been leaving. */
-export interface KnownEntry extends DirectoryEntry {
+export interface CachedDirectoryEntry extends DirectoryEntry {
   /** Earliest time at which the member may have begun to leave; undefined if it is not leaving. */
   leavingSince: ClockReadings | undefined;
 }
 
 /** Caches the entries last read from the directory. */
 export interface DirectoryCache {
-  update: (entries: readonly DirectoryEntry[], age: DirectoryAge) => void;
-  getEntries: (group: string) => KnownEntry[];
+  update: (entries: readonly DirectoryEntry[], freshness: DirectoryFreshness) => void;
+  getEntries: (group: string) => CachedDirectoryEntry[];
   /** Whether the directory has been read at least once. */
   isLoaded: () => boolean;
   /** Whether the last read included every change accepted before it. */
@@ -23,28 +23,31 @@
 const ENTRY_RETENTION_MILLISECONDS = 600_000;
 
 export function createDirectoryCache(clock: Clock): DirectoryCache {
-  const lastEntries = new Map<string, { entry: KnownEntry; listedAt: number }>();
-  let listedEntries: KnownEntry[] = [];
+  const lastEntries = new Map<string, { entry: CachedDirectoryEntry; listedAt: number }>();
+  let listedEntries: CachedDirectoryEntry[] = [];
   let isLoaded = false;
   let isFresh = false;
 
-  function recordEntry(entry: DirectoryEntry, newSince: ClockReadings | undefined): KnownEntry {
+  function recordEntry(
+    entry: DirectoryEntry,
+    changedAfter: ClockReadings | undefined,
+  ): CachedDirectoryEntry {
     const { memberId } = entry;
-    const recordedEntry = { ...entry, leavingSince: getLeavingSince(entry, newSince) };
+    const recordedEntry = { ...entry, leavingSince: getLeavingSince(entry, changedAfter) };
     lastEntries.set(memberId, { entry: recordedEntry, listedAt: clock.now() });
     return recordedEntry;
   }
 
-  /** Falls back to `LONG_AGO`: a member first seen leaving may have begun at any earlier time. */
+  /** `DISTANT_PAST_READINGS` if unknown: a member first seen leaving may have begun at any time. */
   function getLeavingSince(
     entry: DirectoryEntry,
-    newSince: ClockReadings | undefined,
+    changedAfter: ClockReadings | undefined,
   ): ClockReadings | undefined {
     if (!entry.isLeaving) return undefined;
     const previousEntry = lastEntries.get(entry.memberId)?.entry;
     const previousLeavingSince =
-      previousEntry && isSameLife(previousEntry, entry) ? previousEntry.leavingSince : undefined;
-    return previousLeavingSince ?? newSince ?? LONG_AGO;
+      previousEntry && isSameProcess(previousEntry, entry) ? previousEntry.leavingSince : undefined;
+    return previousLeavingSince ?? changedAfter ?? DISTANT_PAST_READINGS;
   }
 
   function evictExpiredEntries(): void {
@@ -54,11 +57,11 @@
   }
 
   return {
-    update: (entries, age) => {
-      listedEntries = entries.map((entry) => recordEntry(entry, age.newSince));
+    update: (entries, freshness) => {
+      listedEntries = entries.map((entry) => recordEntry(entry, freshness.changedAfter));
       evictExpiredEntries();
       isLoaded = true;
-      isFresh = age.isFresh;
+      isFresh = freshness.isFresh;
     },
     getEntries: (group) => listedEntries.filter((entry) => entry.group === group),
     isLoaded: () => isLoaded,
@@ -67,7 +70,7 @@
 }
 
 /** Whether both entries describe the same process; an unknown start time matches any. */
-export function isSameLife(known: DirectoryEntry, entry: DirectoryEntry): boolean {
+export function isSameProcess(known: DirectoryEntry, entry: DirectoryEntry): boolean {
   const isStartUnknown = known.startedAt === undefined || entry.startedAt === undefined;
   const isSameStart = isStartUnknown || known.startedAt === entry.startedAt;
   return isSameStart && known.address === entry.address;
--- a/packages/gateway/src/lib/groups/attemptCommand.ts
+++ b/packages/gateway/src/lib/groups/attemptCommand.ts
@@ -1,8 +1,8 @@
 import type { UpstreamAnswer, UpstreamCommand } from '@wisterialift/pooling';
 import { NoConnectionError } from '../errors/noConnectionError';
-import { settleWithin } from '../timing/withinTime';
+import { settleWithTimeout } from '../timing/promiseTimeout';
 import { createSequencedTime, logIfLeaving, observeAnswer } from './groupContext';
-import type { AskedAt, GroupContext } from './groupContext';
+import type { SequencedTime, GroupContext } from './groupContext';
 import { backOffFromMember } from './member';
 import type { Member } from './member';
 import type { StatementRequest } from './statementRequest';
@@ -15,7 +15,12 @@
 
 /** How one attempt at a member ended. */
 export type AttemptOutcome =
-  | { type: 'answered'; answer: UpstreamAnswer; sentStamp: AskedAt; connection: PooledConnection }
+  | {
+      type: 'answered';
+      answer: UpstreamAnswer;
+      sentStamp: SequencedTime;
+      connection: PooledConnection;
+    }
   /** The command was not sent. */
   | { type: 'notSent'; cause: NotSentCause }
   /** The command was sent, but no complete answer arrived. */
@@ -48,12 +53,12 @@
   const admissionRequest = {
     priority,
     goal,
-    arrivedAt: request.arrived.at,
+    arrivedAt: request.arrivalStamp.at,
     deadlineAt,
     queueTimeout,
   };
   const admissionResult = isAdmissionRequired
-    ? await admission.enter(admissionRequest)
+    ? await admission.requestAdmission(admissionRequest)
     : 'admitted';
   if (admissionResult !== 'admitted') {
     return { type: 'notSent', cause: admissionResult === 'notYet' ? 'notYet' : 'noCapacity' };
@@ -61,7 +66,7 @@
   try {
     return await attemptAdmitted(context, member, { ...options, queuedAt });
   } finally {
-    if (isAdmissionRequired) admission.leave(admissionRequest);
+    if (isAdmissionRequired) admission.release(admissionRequest);
   }
 }
 
@@ -109,7 +114,7 @@
   }
   const preparation = prepareConnection(connection, session, request.prepared?.statement);
   const { clock } = context;
-  const prepared = await settleWithin(clock, preparation, deadlineAt - clock.now());
+  const prepared = await settleWithTimeout(clock, preparation, deadlineAt - clock.now());
   if (prepared.type === 'value' && !prepared.value) return connection;
   const { group, logger } = context;
   const { memberId } = member.entry;
@@ -126,7 +131,7 @@
 export function recordLatency(
   { clock }: GroupContext,
   member: Member,
-  sentStamp: AskedAt,
+  sentStamp: SequencedTime,
   outcome: { type: 'answered'; answer: UpstreamAnswer } | { type: 'lost' },
 ): void {
   const hasExecuted = outcome.type === 'lost' || outcome.answer.outcome === 'completed';
@@ -144,7 +149,7 @@
   const { connection, command, deadlineAt } = options;
   const { clock } = context;
   const running = connection.upstream.run(command);
-  const settled = await settleWithin(clock, running, deadlineAt - clock.now());
+  const settled = await settleWithTimeout(clock, running, deadlineAt - clock.now());
   if (settled.type === 'value') return { type: 'answered', answer: settled.value };
   return { type: 'lost', cause: settled.type === 'timeout' ? 'timeout' : 'broken' };
 }
--- a/packages/gateway/src/lib/groups/evidencePoller.ts
+++ b/packages/gateway/src/lib/groups/evidencePoller.ts
@@ -1,5 +1,5 @@
 import type { CancelTimer } from '../ports/clock';
-import { askMember } from './memberQuestions';
+import { sendMemberCommand } from './sendMemberCommand';
 import type { GroupContext } from './groupContext';
 import type { Member } from './member';
 
@@ -21,7 +21,7 @@
 const POLL_INTERVAL_MILLISECONDS = 150;
 
 /** Time limit of a poll, after which another replica is polled. */
-const POLL_TIMEOUT_MILLISECONDS = 400;
+const TIMEOUT_MILLISECONDS = 400;
 
 interface PollRequest {
   dueAt: number;
@@ -30,7 +30,7 @@
 
 /** Creates a poller in which one poll serves all waiting statements. */
 export function createEvidencePoller(context: GroupContext): EvidencePoller {
-  const { belief, members, clock } = context;
+  const { primaryTracker, members, clock } = context;
   const pollRequests = new Set<PollRequest>();
   let cancelNextPoll: CancelTimer | undefined;
   let isPolling = false;
@@ -39,7 +39,7 @@
     cancelNextPoll?.();
     if (isPolling || pollRequests.size === 0) return;
     const dueAt = Math.min(...[...pollRequests].map((request) => request.dueAt));
-    cancelNextPoll = clock.after(dueAt - clock.now(), () => {
+    cancelNextPoll = clock.runAfter(dueAt - clock.now(), () => {
       void poll();
     });
   }
@@ -48,7 +48,7 @@
     const polled = [...pollRequests];
     const member = chooseReplica(Math.max(...polled.map((request) => request.round)));
     isPolling = true;
-    if (member) await askMember(context, member, { type: 'status' }, POLL_TIMEOUT_MILLISECONDS);
+    if (member) await sendMemberCommand(context, member, { type: 'status' }, TIMEOUT_MILLISECONDS);
     isPolling = false;
     const dueAt = clock.now() + POLL_INTERVAL_MILLISECONDS;
     for (const request of polled) Object.assign(request, { dueAt, round: request.round + 1 });
@@ -57,11 +57,12 @@
 
   /** Cycles through the replicas by ascending latency, skipping those in backoff unless all are. */
   function chooseReplica(round: number): Member | undefined {
-    const primary = belief.find();
+    const primary = primaryTracker.find();
     const replicas = [...members.values()]
       .filter((member) => member !== primary && member.missingSince === undefined)
       .sort(
-        (left, right) => left.latency.current(clock.now()) - right.latency.current(clock.now()),
+        (left, right) =>
+          left.latency.getCurrent(clock.now()) - right.latency.getCurrent(clock.now()),
       );
     const notInBackoff = replicas.filter(({ avoidUntil }) => avoidUntil <= clock.now());
     const candidates = notInBackoff.length > 0 ? notInBackoff : replicas;
--- a/packages/gateway/src/lib/groups/groupContext.ts
+++ b/packages/gateway/src/lib/groups/groupContext.ts
@@ -1,7 +1,7 @@
-import type { GroupEvidence, MemberReport, UpstreamAnswer } from '@wisterialift/pooling';
+import type { ReplicationTracker, MemberReport, UpstreamAnswer } from '@wisterialift/pooling';
 import type { Position } from '@wisterialift/schema';
 import type { Logger } from '@wisterialift/telemetry';
-import type { UsesMechanism } from '../mechanisms';
+import type { IsMechanismEnabled } from '../mechanisms';
 import type { Clock } from '../ports/clock';
 import type { UpstreamDriver } from '../ports/upstreamPort';
 import type { LeavingMemberPolicy } from './leavingMemberPolicy';
@@ -13,16 +13,16 @@
 export interface GroupContext {
   group: string;
   members: Map<string, Member>;
-  evidence: GroupEvidence;
-  belief: PrimaryTracker;
+  evidence: ReplicationTracker;
+  primaryTracker: PrimaryTracker;
   clock: Clock;
   logger: Logger;
   driver: UpstreamDriver;
-  /** Reports a suspected failure of the primary to the promotion task. */
+  /** Reports a suspected failure of the primary to the promotion controller. */
   suspectPrimary: (cause: SuspicionCause, member: Member | undefined) => void;
   counters: GroupCounters;
   leavingPolicy: LeavingMemberPolicy;
-  isMechanismEnabled: UsesMechanism;
+  isMechanismEnabled: IsMechanismEnabled;
   /** Returns a uniformly distributed number in [0, 1). */
   random: () => number;
 }
@@ -47,13 +47,13 @@
 }
 
 /** Sequence number and time of an event, used to order it relative to observations. */
-export interface AskedAt {
+export interface SequencedTime {
   sequence: number;
   at: number;
 }
 
-export function createSequencedTime({ evidence, clock }: GroupContext): AskedAt {
-  return { sequence: evidence.nextSequence(), at: clock.now() };
+export function createSequencedTime({ evidence, clock }: GroupContext): SequencedTime {
+  return { sequence: evidence.takeNextSequenceNumber(), at: clock.now() };
 }
 
 /** Counts and logs a statement that is about to be sent, if the member is leaving. */
@@ -70,7 +70,7 @@
     memberId: entry.memberId,
     requestId: sent.requestId,
     waitedMilliseconds: Math.round(clock.now() - sent.queuedAt),
-    ...describeLeavingTime(entry.leavingSince, clock.readings()),
+    ...describeLeavingTime(entry.leavingSince, clock.readClocks()),
   });
 }
 
@@ -78,22 +78,22 @@
 export function observeAnswer(
   context: GroupContext,
   member: Member,
-  sentStamp: AskedAt,
+  sentStamp: SequencedTime,
   { position }: UpstreamAnswer,
 ): void {
-  const { evidence, belief, clock } = context;
+  const { evidence, primaryTracker, clock } = context;
   const { memberId } = member.entry;
   Object.assign(member, { answeredAt: clock.now(), failures: 0 });
   if (!position) return;
   recordReplicaLag(context, member, sentStamp, position);
   evidence.observe({
     memberId,
-    askedSequence: sentStamp.sequence,
-    askedAt: sentStamp.at,
+    requestSequenceNumber: sentStamp.sequence,
+    requestedAt: sentStamp.at,
     term: position.term,
     position,
     applied: position,
-    isPrimary: belief.isConfirmed(memberId, position.term),
+    isPrimary: primaryTracker.isConfirmed(memberId, position.term),
   });
 }
 
@@ -101,10 +101,10 @@
 function recordReplicaLag(
   { clock, evidence }: GroupContext,
   member: Member,
-  sentStamp: AskedAt,
+  sentStamp: SequencedTime,
   applied: Position,
 ): void {
-  const passedAt = evidence.timeBeyond(applied);
+  const passedAt = evidence.findTimeObservedBeyond(applied);
   const lag = passedAt === undefined ? 0 : Math.max(0, sentStamp.at - passedAt);
   member.lag.observe({ applied, lag, now: clock.now() });
 }
@@ -113,17 +113,17 @@
 export function observeReport(
   context: GroupContext,
   member: Member,
-  sentStamp: AskedAt,
+  sentStamp: SequencedTime,
   { report, applied }: { report: MemberReport; applied: Position },
 ): void {
-  const { evidence, belief } = context;
+  const { evidence, primaryTracker } = context;
   const { memberId } = member.entry;
-  if (report.isPrimary) belief.confirmPrimary(memberId, report.term);
+  if (report.isPrimary) primaryTracker.confirmPrimary(memberId, report.term);
   recordReplicaLag(context, member, sentStamp, applied);
   evidence.observe({
     memberId,
-    askedSequence: sentStamp.sequence,
-    askedAt: sentStamp.at,
+    requestSequenceNumber: sentStamp.sequence,
+    requestedAt: sentStamp.at,
     term: report.term,
     position: report.received,
     applied,
--- a/packages/gateway/src/lib/groups/groupTask.ts
+++ b/packages/gateway/src/lib/groups/groupRouter.ts
@@ -1,18 +1,18 @@
-import { CLAIM_TAKEOVER_MILLISECONDS, createGroupEvidence } from '@wisterialift/pooling';
+import { CLAIM_TAKEOVER_MILLISECONDS, createReplicationTracker } from '@wisterialift/pooling';
 import type { TermOrigin, UpstreamAnswer } from '@wisterialift/pooling';
 import type { Logger } from '@wisterialift/telemetry';
 import type { GroupLimits } from '../configuration/gatewayConfiguration';
 import type { Clock } from '../ports/clock';
-import type { UsesMechanism } from '../mechanisms';
-import { isSameLife } from '../directory/directoryBook';
-import type { KnownEntry } from '../directory/directoryBook';
-import type { PromotionOrders, PromotionStore } from '../ports/platformPort';
+import type { IsMechanismEnabled } from '../mechanisms';
+import { isSameProcess } from '../directory/directoryCache';
+import type { CachedDirectoryEntry } from '../directory/directoryCache';
+import type { PromotionOrderClient, PromotionStore } from '../ports/platformPort';
 import type { UpstreamDriver } from '../ports/upstreamPort';
-import { createPromotionTask } from '../promotion/promotionTask';
+import { createPromotionController } from '../promotion/promotionController';
 import { createReadPositionRefresher } from './readPositionRefresher';
 import { createEvidencePoller } from './evidencePoller';
 import { createSequencedTime } from './groupContext';
-import type { GroupAccess } from './groupAccess';
+import type { StatementRunner } from './statementRunner';
 import type { GroupContext, GroupCounters } from './groupContext';
 import { createLeavingMemberPolicy } from './leavingMemberPolicy';
 import { backOffFromMember, createMember, describeLeavingTime } from './member';
@@ -24,44 +24,44 @@
 import type { StatementRequest } from './statementRequest';
 import { createTransactionOpener } from './transactionOpener';
 import { createUpstreamPool } from './upstreamPool';
-import { createWriteRouter } from './writePath';
+import { createWriteRouter } from './writeRouter';
 
 /** Runs the statements of one group and promotes a new primary when necessary. */
-export interface GroupTask extends GroupAccess {
-  updateMembers: (entries: KnownEntry[]) => void;
+export interface GroupRouter extends StatementRunner {
+  updateMembers: (entries: CachedDirectoryEntry[]) => void;
   updateLimits: (limits: GroupLimits) => void;
   /** Whether the group has members and a known primary. */
   isUsable: () => boolean;
   /** Discards age-based observations after the process was suspended. */
-  forgetAges: () => void;
+  clearPositionSamples: () => void;
   counters: GroupCounters;
   close: () => void;
 }
 
 /** @public */
-export interface GroupTaskOptions {
+export interface GroupRouterOptions {
   group: string;
   instance: string;
   dataCentre: string;
   limits: GroupLimits;
   driver: UpstreamDriver;
   store: PromotionStore;
-  orders: PromotionOrders;
+  orders: PromotionOrderClient;
   clock: Clock;
   /** Returns a uniformly distributed number in [0, 1). */
   random: () => number;
   logger: Logger;
-  uses: UsesMechanism;
+  isMechanismEnabled: IsMechanismEnabled;
   /** Whether this instance keeps connections to the members, for itself or for other instances. */
   isHolder: () => boolean;
   /** Number of instances that keep connections to the members, including this one. */
-  countSharers: () => number;
+  countConnectedInstances: () => number;
   /** Whether the list of instances is known; until then each instance acts as a holder. */
   areInstancesKnown: () => boolean;
   /** Milliseconds for which a member's entry may be missing before the member is removed. */
-  missingGrace: number;
+  missingMemberRetentionMilliseconds: number;
   /** Milliseconds after which a leaving member is sent no new statements. */
-  leavingBound: number;
+  leavingGracePeriodMilliseconds: number;
 }
 
 /**
@@ -84,17 +84,26 @@
 /** Validity of a promotion claim, plus up to a second until the promotion takes effect. */
 const MAXIMUM_PROMOTION_MILLISECONDS = CLAIM_TAKEOVER_MILLISECONDS + 1_000;
 
-export function createGroupTask(options: GroupTaskOptions): GroupTask {
-  const { group, dataCentre, driver, clock, isHolder, countSharers, logger, missingGrace, uses } =
-    options;
+export function createGroupRouter(options: GroupRouterOptions): GroupRouter {
+  const {
+    group,
+    dataCentre,
+    driver,
+    clock,
+    isHolder,
+    countConnectedInstances,
+    logger,
+    missingMemberRetentionMilliseconds,
+    isMechanismEnabled,
+  } = options;
   const members = new Map<string, Member>();
-  const evidence = createGroupEvidence();
+  const evidence = createReplicationTracker();
   const primaryTracker = createPrimaryTracker(members, clock);
   const leavingPolicy = createLeavingMemberPolicy({
     members,
     primaryTracker,
     clock,
-    timeLimit: options.leavingBound,
+    timeLimit: options.leavingGracePeriodMilliseconds,
   });
   const counters: GroupCounters = {
     probes: 0,
@@ -114,18 +123,18 @@
     group,
     members,
     evidence,
-    belief: primaryTracker,
+    primaryTracker,
     clock,
     logger,
     driver,
     counters,
     leavingPolicy,
-    isMechanismEnabled: uses,
+    isMechanismEnabled,
     random: options.random,
     suspectPrimary: (cause, member) => onSuspicion(cause, member),
   };
-  const promotion = createPromotionTask(context, options);
-  onSuspicion = promotion.suspect;
+  const promotion = createPromotionController(context, options);
+  onSuspicion = promotion.reportSuspicion;
   const evidencePoller = createEvidencePoller(context);
   const primaryVerifier = createPrimaryVerifier(context, evidencePoller);
   const readPositions = createReadPositionRefresher(context);
@@ -142,7 +151,7 @@
     writes,
     primaryVerifier,
   });
-  const stopMaintenance = clock.every(MAINTENANCE_INTERVAL_MILLISECONDS, runMaintenance);
+  const stopMaintenance = clock.runEvery(MAINTENANCE_INTERVAL_MILLISECONDS, runMaintenance);
 
   async function read(request: StatementRequest): Promise<UpstreamAnswer> {
     const { answer, routed } = await reads.run(request, (after) => toCommand(request, after));
@@ -153,7 +162,7 @@
     return answer;
   }
 
-  function updateMembers(entries: KnownEntry[]): void {
+  function updateMembers(entries: CachedDirectoryEntry[]): void {
     const listed = new Map(entries.map((entry) => [entry.memberId, entry]));
     for (const entry of entries) addOrUpdate(entry);
     for (const member of members.values()) {
@@ -169,15 +178,15 @@
 
   /** Queries a read position and opens connections early, so that the first reads do not wait. */
   function prefetchReadPosition(): void {
-    const hasNoObservations = evidence.highestTerm() === 0 && members.size > 0;
+    const isNew = evidence.getHighestTerm() === 0 && members.size > 0;
     // Until the instance list is known, all instances would take connections meant for holders.
     const isKnownHolder = options.areInstancesKnown() && isHolder();
-    if (hasNoObservations && isKnownHolder && uses('lookingAhead')) void readPositions.refresh();
+    if (isNew && isKnownHolder && isMechanismEnabled('lookingAhead')) void readPositions.refresh();
   }
 
-  function addOrUpdate(entry: KnownEntry): void {
+  function addOrUpdate(entry: CachedDirectoryEntry): void {
     const known = members.get(entry.memberId);
-    if (known && isSameLife(known.entry, entry)) {
+    if (known && isSameProcess(known.entry, entry)) {
       if (hasStatusChanged(known.entry, entry)) logger.info('memberChanged', describeEntry(entry));
       Object.assign(known, { entry, missingSince: undefined });
       return;
@@ -187,25 +196,25 @@
     members.set(entry.memberId, openMember(entry));
   }
 
-  function describeEntry({ leavingSince, ...entry }: KnownEntry) {
-    return { ...entry, ...describeLeavingTime(leavingSince, clock.readings()) };
+  function describeEntry({ leavingSince, ...entry }: CachedDirectoryEntry) {
+    return { ...entry, ...describeLeavingTime(leavingSince, clock.readClocks()) };
   }
 
   /**
    * Discards the state of a member that restarted under the same id, whether or not its address
    * changed: its connections and prepared statements are gone, and it is not primary of any term.
    */
-  function restartMember({ entry: former, pool }: Member, entry: KnownEntry): void {
+  function restartMember({ entry: former, pool }: Member, entry: CachedDirectoryEntry): void {
     const { memberId } = entry;
     logger.warn('memberRestarted', { group, memberId, former: former.startedAt });
     pool.close();
     primaryTracker.discardConfirmations(memberId);
     // A promotion that used the member's former log may be pending until then.
-    const trustedFrom = clock.now() + MAXIMUM_PROMOTION_MILLISECONDS;
-    evidence.restartMember(memberId, { trustedFrom });
+    const validFrom = clock.now() + MAXIMUM_PROMOTION_MILLISECONDS;
+    evidence.discardObservationsBefore(memberId, { validFrom });
   }
 
-  function openMember(entry: KnownEntry): Member {
+  function openMember(entry: CachedDirectoryEntry): Member {
     const pool = createUpstreamPool({
       driver,
       clock,
@@ -216,7 +225,7 @@
       calculateFairShare,
       maximumConnections: calculateMaximumConnections(limits, MAXIMUM_CONNECTION_SHARE),
       isHolder,
-      isMechanismEnabled: uses,
+      isMechanismEnabled,
       onUnpinned: () => members.get(entry.memberId)?.admission.admitWaiting(),
       onUnreachable: () => handleUnreachable(entry.memberId),
     });
@@ -225,13 +234,13 @@
       pool,
       isSameDataCentre: entry.dataCentre === dataCentre,
       clock,
-      isMechanismEnabled: uses,
+      isMechanismEnabled,
     });
   }
 
   function calculateFairShare(): number {
     const shared = limits.maximumConnections * EVENLY_DIVIDED_SHARE;
-    return Math.max(1, Math.floor(shared / countSharers()));
+    return Math.max(1, Math.floor(shared / countConnectedInstances()));
   }
 
   function handleUnreachable(memberId: string): void {
@@ -245,10 +254,10 @@
     for (const [memberId, member] of members) {
       member.pool.maintain();
       const missing = member.missingSince;
-      if (missing !== undefined && clock.now() - missing > missingGrace) {
+      if (missing !== undefined && clock.now() - missing > missingMemberRetentionMilliseconds) {
         logger.warn('memberGone', { group, memberId });
         members.delete(memberId);
-        evidence.forgetMember(memberId);
+        evidence.removeMember(memberId);
         member.pool.close();
       }
     }
@@ -257,14 +266,14 @@
 
   /** Only holders check the primary: checks by all instances would exhaust connections. */
   function checkPrimaryIfHolder(): void {
-    if (isHolder()) promotion.reviewDirectory();
+    if (isHolder()) promotion.checkDirectory();
   }
 
   return {
     read,
     write: writes.write,
     openTransaction: transactions.open,
-    markArrival: () => createSequencedTime(context),
+    createArrivalStamp: () => createSequencedTime(context),
     updateMembers,
     updateLimits: (next) => {
       limits = next;
@@ -272,7 +281,7 @@
       for (const member of members.values()) member.pool.setMaximum(maximum);
     },
     isUsable: () => members.size > 0 && primaryTracker.find() !== undefined,
-    forgetAges: evidence.forgetAges,
+    clearPositionSamples: evidence.clearPositionSamples,
     counters,
     close: () => {
       stopMaintenance();
@@ -287,6 +296,6 @@
   return Math.max(MINIMUM_CONNECTIONS, Math.floor(maximumConnections * share));
 }
 
-function hasStatusChanged(before: KnownEntry, after: KnownEntry): boolean {
+function hasStatusChanged(before: CachedDirectoryEntry, after: CachedDirectoryEntry): boolean {
   return before.isPrimary !== after.isPrimary || before.isLeaving !== after.isLeaving;
 }
--- a/packages/gateway/src/lib/groups/hedgedReads.ts
+++ b/packages/gateway/src/lib/groups/hedgedReads.ts
@@ -1,7 +1,7 @@
 import { createRetryBudget } from '@wisterialift/core';
 import type { UpstreamCommand } from '@wisterialift/pooling';
 import type { Position } from '@wisterialift/schema';
-import { resolveWithin } from '../timing/withinTime';
+import { resolveWithTimeout } from '../timing/promiseTimeout';
 import { attemptCommand } from './attemptCommand';
 import type { AttemptOutcome } from './attemptCommand';
 import type { GroupContext } from './groupContext';
@@ -36,7 +36,7 @@
 const MINIMUM_HEDGE_DELAY_MILLISECONDS = 250;
 
 /** Hedges add at most a tenth to the load; an idle instance can always hedge a few reads. */
-const HEDGE_BUDGET = { share: 0.1, minimumTokens: 5 };
+const HEDGE_BUDGET = { retryRatio: 0.1, minimumTokens: 5 };
 
 /** Time after which a queued read re-evaluates all members, as others may be eligible by then. */
 const QUEUE_TIMEOUT_MILLISECONDS = 100;
@@ -55,9 +55,13 @@
     if (!second || second.wait > 0 || !isMechanismEnabled('hedging')) return firstAttempt;
     const hedgeDelay = calculateHedgeDelay(first.member);
     const timeLeft = request.deadlineAt - clock.now();
-    const earlyResult = await resolveWithin(clock, firstAttempt, Math.min(hedgeDelay, timeLeft));
+    const earlyResult = await resolveWithTimeout(
+      clock,
+      firstAttempt,
+      Math.min(hedgeDelay, timeLeft),
+    );
     if (earlyResult) return earlyResult;
-    if (!budget.tryRetry(clock.now())) return firstAttempt;
+    if (!budget.trySpendRetry(clock.now())) return firstAttempt;
     // Reads are idempotent, and the first attempt continues because it may still finish first.
     logger.info('readHedged', {
       group,
@@ -76,7 +80,7 @@
   function calculateHedgeDelay(member: Member): number {
     return Math.max(
       MINIMUM_HEDGE_DELAY_MILLISECONDS,
-      HEDGE_LATENCY_MULTIPLE * member.latency.current(clock.now()),
+      HEDGE_LATENCY_MULTIPLE * member.latency.getCurrent(clock.now()),
     );
   }
 
@@ -88,14 +92,14 @@
     const command = createCommand(candidate.after);
     const { deadlineAt } = request;
     const { lag } = candidate.member;
-    if (candidate.isTrialRead) lag.beginTrial();
+    if (candidate.isTrialRead) lag.beginTrialRead();
     const outcome = await attemptCommand(context, candidate.member, {
       request,
       command,
       deadlineAt,
       queueTimeout: chooseQueueTimeout(request),
     });
-    if (candidate.isTrialRead) lag.endTrial();
+    if (candidate.isTrialRead) lag.endTrialRead();
     return { candidate, outcome };
   }
 
@@ -105,7 +109,7 @@
     return canTryElsewhere ? QUEUE_TIMEOUT_MILLISECONDS : undefined;
   }
 
-  return { recordRead: () => budget.recordFirstTry(clock.now()), run };
+  return { recordRead: () => budget.recordFirstAttempt(clock.now()), run };
 }
 
 /**
--- a/packages/gateway/src/lib/groups/leavingMemberPolicy.ts
+++ b/packages/gateway/src/lib/groups/leavingMemberPolicy.ts
@@ -1,4 +1,4 @@
-import { remainingUse } from '@wisterialift/pooling';
+import { computeRemainingAdmissionTime } from '@wisterialift/pooling';
 import type { Clock } from '../ports/clock';
 import type { Member } from './member';
 import type { PrimaryTracker } from './primaryTracker';
@@ -25,7 +25,11 @@
   // Called for every statement, so the clocks are read only for leaving members.
   const getRemainingTime = ({ entry: { leavingSince } }: Member) =>
     leavingSince
-      ? remainingUse({ leavingSince, bound: timeLimit, present: clock.readings() })
+      ? computeRemainingAdmissionTime({
+          leavingSince,
+          admissionPeriod: timeLimit,
+          now: clock.readClocks(),
+        })
       : Infinity;
 
   const canAccept = (member: Member) => getRemainingTime(member) > 0;
--- a/packages/gateway/src/lib/groups/member.ts
+++ b/packages/gateway/src/lib/groups/member.ts
@@ -1,21 +1,25 @@
-import { createLatencyEstimate, createReplicaLag, longestAge } from '@wisterialift/pooling';
-import type { ClockReadings, LatencyEstimate, ReplicaLag } from '@wisterialift/pooling';
-import type { UsesMechanism } from '../mechanisms';
+import {
+  createLatencyEstimate,
+  createLagEstimate,
+  computeAgeUpperBound,
+} from '@wisterialift/pooling';
+import type { ClockReadings, LatencyEstimate, LagEstimate } from '@wisterialift/pooling';
+import type { IsMechanismEnabled } from '../mechanisms';
 import type { Clock } from '../ports/clock';
-import type { KnownEntry } from '../directory/directoryBook';
-import { createStatementGate } from './statementGate';
-import type { StatementGate } from './statementGate';
+import type { CachedDirectoryEntry } from '../directory/directoryCache';
+import { createStatementAdmission } from './statementAdmission';
+import type { StatementAdmission } from './statementAdmission';
 import type { UpstreamPool } from './upstreamPool';
 
 /** This instance's state for one database of a group. */
 export interface Member {
-  entry: KnownEntry;
+  entry: CachedDirectoryEntry;
   pool: UpstreamPool;
   /** Limits the concurrent statements of this instance at the member. */
-  admission: StatementGate;
+  admission: StatementAdmission;
   /** Response time of statements, including network and the member's queue. */
   latency: LatencyEstimate;
-  lag: ReplicaLag;
+  lag: LagEstimate;
   answeredAt: number;
   /** Time before which no statement is sent to the member. */
   avoidUntil: number;
@@ -38,22 +42,22 @@
 const STATEMENTS_PER_SLOT = 1.5;
 
 export function createMember(options: {
-  entry: KnownEntry;
+  entry: CachedDirectoryEntry;
   pool: UpstreamPool;
   isSameDataCentre: boolean;
   clock: Clock;
-  isMechanismEnabled: UsesMechanism;
+  isMechanismEnabled: IsMechanismEnabled;
 }): Member {
   const { entry, pool, isSameDataCentre, clock, isMechanismEnabled } = options;
   const { sameDataCentre, otherDataCentre } = INITIAL_LATENCY_MILLISECONDS;
   const latency = createLatencyEstimate(isSameDataCentre ? sameDataCentre : otherDataCentre);
-  const admission = createStatementGate({
+  const admission = createStatementAdmission({
     clock,
     limit: Math.max(2, Math.ceil(entry.slots * STATEMENTS_PER_SLOT)),
-    freeConnections: pool.countFreeConnections,
-    expectedTime: () => latency.current(clock.now()),
-    delay: pool.estimateDelay,
-    uses: isMechanismEnabled,
+    countFreeConnections: pool.countFreeConnections,
+    estimateStatementTime: () => latency.getCurrent(clock.now()),
+    estimateConnectionDelay: pool.estimateDelay,
+    isMechanismEnabled,
     onWaiting: pool.raiseLimit,
   });
   return {
@@ -61,7 +65,7 @@
     pool,
     admission,
     latency,
-    lag: createReplicaLag(),
+    lag: createLagEstimate(),
     answeredAt: -Infinity,
     avoidUntil: -Infinity,
     failures: 0,
@@ -72,10 +76,10 @@
 /** Returns the upper bound of the time a member has been leaving, as log fields. */
 export function describeLeavingTime(
   leavingSince: ClockReadings | undefined,
-  present: ClockReadings,
+  now: ClockReadings,
 ): { leavingMilliseconds?: number } {
   if (!leavingSince) return {};
-  return { leavingMilliseconds: Math.round(longestAge(leavingSince, present)) };
+  return { leavingMilliseconds: Math.round(computeAgeUpperBound(leavingSince, now)) };
 }
 
 /** Sends no statements to an unreachable member until an exponential backoff has passed. */
--- a/packages/gateway/src/lib/groups/primaryTracker.ts
+++ b/packages/gateway/src/lib/groups/primaryTracker.ts
@@ -90,7 +90,7 @@
           listeners.delete(finish);
           resolve();
         };
-        cancelTimer = clock.after(milliseconds, finish);
+        cancelTimer = clock.runAfter(milliseconds, finish);
         listeners.add(finish);
       }),
     notifyChange,
--- a/packages/gateway/src/lib/groups/primaryVerifier.ts
+++ b/packages/gateway/src/lib/groups/primaryVerifier.ts
@@ -1,11 +1,11 @@
-import type { EvidenceWait } from '@wisterialift/pooling';
+import type { ConfirmationWait } from '@wisterialift/pooling';
 import type { Position } from '@wisterialift/schema';
 import type { Route } from '../configuration/gatewayConfiguration';
 import type { EvidencePoller } from './evidencePoller';
-import { resolveWithin } from '../timing/withinTime';
-import type { AskedAt, GroupContext } from './groupContext';
+import { resolveWithTimeout } from '../timing/promiseTimeout';
+import type { SequencedTime, GroupContext } from './groupContext';
 import type { Member } from './member';
-import { askMember } from './memberQuestions';
+import { sendMemberCommand } from './sendMemberCommand';
 
 /** Verifies that answers of the primary are current and its commits replicated. */
 export interface PrimaryVerifier {
@@ -18,7 +18,7 @@
   verifyCurrent: (options: {
     member: Member;
     term: number;
-    eventStamp: AskedAt;
+    eventStamp: SequencedTime;
     maximumStaleness: number;
     /** Milliseconds to wait before replicas are polled; see `calculatePollDelay`. */
     pollDelay: number;
@@ -72,7 +72,7 @@
   context: GroupContext,
   poller: EvidencePoller,
 ): PrimaryVerifier {
-  const { belief, clock, evidence, members } = context;
+  const { primaryTracker, clock, evidence, members } = context;
 
   /** Start times of pending waits, oldest first. */
   const waitStartTimes = new Set<number>();
@@ -82,17 +82,17 @@
 
   async function confirmPrimaryRole(member: Member, term: number): Promise<boolean> {
     const { memberId } = member.entry;
-    if (belief.isConfirmed(memberId, term)) return true;
-    const report = await askMember(
+    if (primaryTracker.isConfirmed(memberId, term)) return true;
+    const report = await sendMemberCommand(
       context,
       member,
       { type: 'status' },
       ROLE_QUERY_TIMEOUT_MILLISECONDS,
     );
-    if (belief.isConfirmed(memberId, term)) return true;
+    if (primaryTracker.isConfirmed(memberId, term)) return true;
     // A query without a report proves nothing; rejecting the member here could leave the group
     // without a primary.
-    if (report) belief.rejectPrimary(member, term);
+    if (report) primaryTracker.rejectPrimary(member, term);
     return false;
   }
 
@@ -100,25 +100,25 @@
   function hasRecentReply(member: Member, term: number, since: number): boolean {
     return [...members.keys()].some((memberId) => {
       if (memberId === member.entry.memberId) return false;
-      const seen = evidence.lastSeen(memberId);
-      return seen !== undefined && seen.term === term && seen.askedAt >= since;
+      const seen = evidence.getLatestObservation(memberId);
+      return seen !== undefined && seen.term === term && seen.requestedAt >= since;
     });
   }
 
-  async function waitForEvidence(wait: EvidenceWait, options: EvidenceOptions) {
+  async function waitForEvidence(wait: ConfirmationWait, options: EvidenceOptions) {
     const { member, pollDelay, deadlineAt } = options;
     const stopPolling = poller.startPolling(pollDelay);
     const startedAt = clock.now();
     waitStartTimes.add(startedAt);
-    const cancelStallTimer = clock.after(STALL_TIMEOUT_MILLISECONDS, () => {
+    const cancelStallTimer = clock.runAfter(STALL_TIMEOUT_MILLISECONDS, () => {
       context.suspectPrimary('unconfirmed', member);
     });
-    const verdict = await resolveWithin(clock, wait.verdict, deadlineAt - clock.now());
+    const result = await resolveWithTimeout(clock, wait.result, deadlineAt - clock.now());
     cancelStallTimer();
     waitStartTimes.delete(startedAt);
     stopPolling();
     wait.cancel();
-    return verdict;
+    return result;
   }
 
   const isStalled = () => {
@@ -141,22 +141,26 @@
       const canBeStale = maximumStaleness > 0;
       if (canBeStale && hasRecentReply(member, term, eventStamp.at - maximumStaleness)) return true;
       const { memberId: primaryId } = member.entry;
-      const wait = evidence.waitForTerm({ term, sequence: eventStamp.sequence, primaryId });
-      const verdict = await waitForEvidence(wait, { member, pollDelay, deadlineAt });
-      if (verdict?.type === 'superseded') belief.rejectPrimary(member, term);
-      return verdict?.type === 'proved';
+      const wait = evidence.waitForTermConfirmation({
+        term,
+        sequence: eventStamp.sequence,
+        primaryId,
+      });
+      const result = await waitForEvidence(wait, { member, pollDelay, deadlineAt });
+      if (result?.type === 'superseded') primaryTracker.rejectPrimary(member, term);
+      return result?.type === 'proved';
     },
     waitForReplication: async ({ member, position, pollDelay, deadlineAt }) => {
       if (!hasOtherMembers(member)) return 'replicated';
-      const wait = evidence.waitForCopy({
+      const wait = evidence.waitForReplication({
         position,
         primaryId: member.entry.memberId,
         memberIds: () => [...members.keys()],
       });
-      const verdict = await waitForEvidence(wait, { member, pollDelay, deadlineAt });
-      if (!verdict) return 'unknown';
-      if (verdict.type === 'superseded') belief.rejectPrimary(member, position.term);
-      return verdict.type === 'proved' ? 'replicated' : 'superseded';
+      const result = await waitForEvidence(wait, { member, pollDelay, deadlineAt });
+      if (!result) return 'unknown';
+      if (result.type === 'superseded') primaryTracker.rejectPrimary(member, position.term);
+      return result.type === 'proved' ? 'replicated' : 'superseded';
     },
   };
 }
--- a/packages/gateway/src/lib/groups/readCandidates.ts
+++ b/packages/gateway/src/lib/groups/readCandidates.ts
@@ -1,5 +1,5 @@
 import { orderMembersForRead } from '@wisterialift/pooling';
-import type { RequiredLog } from '@wisterialift/pooling';
+import type { RequiredPosition } from '@wisterialift/pooling';
 import { isAtMost } from '@wisterialift/schema';
 import type { Position } from '@wisterialift/schema';
 import type { GroupContext } from './groupContext';
@@ -42,11 +42,11 @@
   context: GroupContext,
   verifier: PrimaryVerifier,
 ): ReadCandidates {
-  const { belief, clock, evidence, leavingPolicy, members, isMechanismEnabled } = context;
+  const { primaryTracker, clock, evidence, leavingPolicy, members, isMechanismEnabled } = context;
 
   function rank(request: StatementRequest, excludedMembers: ReadonlySet<Member>): ReadCandidate[] {
     const now = clock.now();
-    const primary = belief.find();
+    const primary = primaryTracker.find();
     const required = findRequiredLog(request);
     const candidates = [...members.values()]
       .filter((member) => (member === primary ? !verifier.isStalled() : required !== undefined))
@@ -57,8 +57,8 @@
         member,
         isPrimary: member === primary,
         after: required?.position,
-        latency: member.latency.current(now),
-        isReserved: member === primary && isMechanismEnabled('reservedPrimary'),
+        latency: member.latency.getCurrent(now),
+        hasExclusiveStatements: member === primary && isMechanismEnabled('reservedPrimary'),
         load: member.admission.countStatements(),
         capacity: member.admission.calculateCapacity(),
         delay: member.pool.estimateDelay(),
@@ -73,15 +73,19 @@
   }
 
   /** Returns the log that the read requires, or undefined if only the primary can serve it. */
-  function findRequiredLog({ route, session, arrived }: StatementRequest): RequiredLog | undefined {
+  function findRequiredLog({
+    route,
+    session,
+    arrivalStamp,
+  }: StatementRequest): RequiredPosition | undefined {
     if (route.consistency === 'primary') return undefined;
     const maximumAge = route.maximumStaleness - STALENESS_MARGIN_MILLISECONDS;
-    const floor = evidence.findFloor({ now: arrived.at, maximumAge });
+    const floor = evidence.findFloor({ now: arrivalStamp.at, maximumAge });
     if (!floor) return undefined;
     const { lastCommit } = session;
     const isOwnCommitRequired = route.consistency === 'readYourWrites' && lastCommit !== undefined;
     if (isOwnCommitRequired && !isAtMost(lastCommit.position, floor.position)) return lastCommit;
-    return { position: floor.position, seenAt: floor.askedAt };
+    return { position: floor.position, seenAt: floor.requestedAt };
   }
 
   /**
@@ -90,11 +94,11 @@
    */
   function estimateWait(
     { lag }: Member,
-    required: RequiredLog | undefined,
+    required: RequiredPosition | undefined,
     now: number,
   ): Pick<ReadCandidate, 'wait' | 'isTrialRead'> {
-    const wait = lag.timeUntilApplied(required, now);
-    const isTrialRead = wait > 0 && lag.mayBeTried(now) && isMechanismEnabled('trialReads');
+    const wait = lag.estimateTimeUntilApplied(required, now);
+    const isTrialRead = wait > 0 && lag.canTryRead(now) && isMechanismEnabled('trialReads');
     return { wait: isTrialRead ? 0 : wait, isTrialRead };
   }
 
--- a/packages/gateway/src/lib/groups/readPositionRefresher.ts
+++ b/packages/gateway/src/lib/groups/readPositionRefresher.ts
@@ -1,8 +1,8 @@
 import type { MemberReport } from '@wisterialift/pooling';
-import { maxPosition } from '@wisterialift/schema';
+import { getHigherPosition } from '@wisterialift/schema';
 import type { GroupContext } from './groupContext';
 import type { Member } from './member';
-import { askMember } from './memberQuestions';
+import { sendMemberCommand } from './sendMemberCommand';
 
 /**
  * Queries members for a log position that includes every acknowledged commit. Until one is known,
@@ -26,13 +26,13 @@
  * sufficient if the primary is unreachable or out of connections.
  */
 export function createReadPositionRefresher(context: GroupContext): ReadPositionRefresher {
-  const { belief, clock, evidence, members } = context;
+  const { primaryTracker, clock, evidence, members } = context;
   let pendingRefresh: Promise<void> | undefined;
 
   async function refreshOnce(): Promise<void> {
-    const primary = belief.find();
+    const primary = primaryTracker.find();
     const isRefreshed = await waitForFirstTrue([queryPrimary(primary), queryOtherMembers(primary)]);
-    if (!isRefreshed) await belief.waitForChange(RETRY_DELAY_MILLISECONDS);
+    if (!isRefreshed) await primaryTracker.waitForChange(RETRY_DELAY_MILLISECONDS);
   }
 
   async function queryPrimary(primary: Member | undefined): Promise<boolean> {
@@ -42,7 +42,7 @@
 
   async function queryReport(member: Member) {
     if (member.avoidUntil > clock.now()) return undefined;
-    return askMember(context, member, { type: 'status' }, QUERY_TIMEOUT_MILLISECONDS);
+    return sendMemberCommand(context, member, { type: 'status' }, QUERY_TIMEOUT_MILLISECONDS);
   }
 
   async function queryOtherMembers(primary: Member | undefined): Promise<boolean> {
@@ -52,7 +52,7 @@
     const reports = responses.filter((report): report is MemberReport => report !== undefined);
     const [first, ...rest] = reports.map(({ received }) => received);
     if (!first || reports.length < Math.max(1, members.size - 1)) return false;
-    evidence.addFloor({ askedAt: sentAt, position: rest.reduce(maxPosition, first) });
+    evidence.addFloor({ requestedAt: sentAt, position: rest.reduce(getHigherPosition, first) });
     return true;
   }
 
--- a/packages/gateway/src/lib/groups/readRouter.ts
+++ b/packages/gateway/src/lib/groups/readRouter.ts
@@ -69,8 +69,16 @@
     readPositions: ReadPositionRefresher;
   },
 ): ReadRouter {
-  const { belief, clock, counters, evidence, leavingPolicy, logger, group, isMechanismEnabled } =
-    context;
+  const {
+    primaryTracker,
+    clock,
+    counters,
+    evidence,
+    leavingPolicy,
+    logger,
+    group,
+    isMechanismEnabled,
+  } = context;
   const candidates = createReadCandidates(context, verifier);
   const hedgedReads = createHedgedReads(context);
 
@@ -132,7 +140,7 @@
       }
       if (first?.wait === 0) return { first, second };
       if (first && !isMechanismEnabled('waitingForReplicas')) return undefined;
-      await belief.waitForChange(Math.min(RETRY_DELAY_MILLISECONDS, timeLeftOf(request)));
+      await primaryTracker.waitForChange(Math.min(RETRY_DELAY_MILLISECONDS, timeLeftOf(request)));
     }
     return undefined;
   }
@@ -162,7 +170,7 @@
     if (outcome.type !== 'answered') {
       handleUnanswered(candidate, outcome);
       const cause = outcome.type === 'notSent' ? outcome.cause : undefined;
-      if (cause === 'leaving') await belief.waitForChange(RETRY_DELAY_MILLISECONDS);
+      if (cause === 'leaving') await primaryTracker.waitForChange(RETRY_DELAY_MILLISECONDS);
       return cause && EXCLUSION_CAUSES.has(cause) ? 'excludeMember' : 'retry';
     }
     const { answer } = outcome;
@@ -172,12 +180,12 @@
     // Also verify a member confirmed for this term that is no longer considered the primary: the
     // required position may be its own, so an equal term proves nothing.
     const isPrimaryAnswer =
-      candidate.isPrimary || belief.isConfirmed(candidate.member.entry.memberId, term);
+      candidate.isPrimary || primaryTracker.isConfirmed(candidate.member.entry.memberId, term);
     if (!isPrimaryAnswer) return term === candidate.after?.term ? 'accepted' : 'retry';
     const isCurrent = await verifier.verifyCurrent({
       member: candidate.member,
       term,
-      eventStamp: request.arrived,
+      eventStamp: request.arrivalStamp,
       maximumStaleness: request.route.maximumStaleness - STALENESS_MARGIN_MILLISECONDS,
       pollDelay: calculatePollDelay(request.route),
       deadlineAt: request.deadlineAt,
@@ -212,7 +220,7 @@
         return 'retry';
       },
       readOnly: () => {
-        belief.rejectPrimary(member, answer.position?.term ?? evidence.highestTerm());
+        primaryTracker.rejectPrimary(member, answer.position?.term ?? evidence.getHighestTerm());
         return 'retry';
       },
       unknownStatement: () => 'retry',
--- a/packages/gateway/src/lib/groups/memberQuestions.ts
+++ b/packages/gateway/src/lib/groups/sendMemberCommand.ts
@@ -12,7 +12,7 @@
  *
  * @returns undefined if there is no report within `timeoutMilliseconds`; the cause is logged.
  */
-export async function askMember(
+export async function sendMemberCommand(
   context: GroupContext,
   member: Member,
   command: Extract<UpstreamCommand, { type: 'status' | 'pause' | 'resume' | 'demote' }>,
@@ -31,7 +31,7 @@
     });
     const connection = await pendingConnection;
     const sentStamp = createSequencedTime(context);
-    const cancelTimeout = clock.after(deadlineAt - clock.now(), () => {
+    const cancelTimeout = clock.runAfter(deadlineAt - clock.now(), () => {
       member.pool.discard(connection);
     });
     const answer = await connection.upstream.run(command).finally(cancelTimeout);
--- a/packages/gateway/src/lib/groups/statementGate.ts
+++ b/packages/gateway/src/lib/groups/statementAdmission.ts
@@ -1,11 +1,11 @@
-import { createServiceEstimate } from '@wisterialift/core';
-import { chooseNextStatement, longestWait } from '@wisterialift/pooling';
+import { createServiceStatistics } from '@wisterialift/core';
+import { chooseNextStatement, computeMaximumQueueWait } from '@wisterialift/pooling';
 import type { QueuedStatement } from '@wisterialift/pooling';
-import type { UsesMechanism } from '../mechanisms';
+import type { IsMechanismEnabled } from '../mechanisms';
 import type { CancelTimer, Clock } from '../ports/clock';
 
 /** A statement that requests admission to a member. */
-export interface GateRequest {
+export interface AdmissionRequest {
   /** Priority; 0 is the highest for callers. */
   priority: number;
   /** Latency goal of the route, in milliseconds. */
@@ -26,9 +26,9 @@
 export type AdmissionResult = 'admitted' | 'tooLate' | 'notYet';
 
 /** Limits the concurrent statements of this instance at a member. */
-export interface StatementGate {
-  enter: (request: GateRequest) => Promise<AdmissionResult>;
-  leave: (request: GateRequest) => void;
+export interface StatementAdmission {
+  requestAdmission: (request: AdmissionRequest) => Promise<AdmissionResult>;
+  release: (request: AdmissionRequest) => void;
   /** Number of running and waiting statements. */
   countStatements: () => number;
   /** Number of statements outside transactions that can run concurrently. */
@@ -41,17 +41,17 @@
   admitWaiting: () => void;
 }
 
-export interface StatementGateOptions {
+export interface StatementAdmissionOptions {
   clock: Clock;
   /** Maximum number of concurrent statements. */
   limit: number;
   /** Number of connections available to statements outside transactions. */
-  freeConnections: () => number;
+  countFreeConnections: () => number;
   /** Expected duration of one statement at the member, in milliseconds. */
-  expectedTime: () => number;
+  estimateStatementTime: () => number;
   /** Expected milliseconds until a connection is available. */
-  delay: () => number;
-  uses: UsesMechanism;
+  estimateConnectionDelay: () => number;
+  isMechanismEnabled: IsMechanismEnabled;
   /** Called when a statement is queued, so that the pool can raise its connection limit. */
   onWaiting: () => void;
 }
@@ -67,19 +67,27 @@
  * Statements that would be too late are refused early, so that the member's own queue does not
  * overflow.
  */
-export function createStatementGate(options: StatementGateOptions): StatementGate {
-  const { clock, limit, freeConnections, expectedTime, delay, uses, onWaiting } = options;
+export function createStatementAdmission(options: StatementAdmissionOptions): StatementAdmission {
+  const {
+    clock,
+    limit,
+    countFreeConnections,
+    estimateStatementTime,
+    estimateConnectionDelay,
+    isMechanismEnabled,
+    onWaiting,
+  } = options;
   const waiters: Waiter[] = [];
-  const service = createServiceEstimate();
+  const service = createServiceStatistics();
   let running = 0;
   let runningOutsideTransactions = 0;
   /** Since when the queue has not been empty. */
   let queuedSince: number | undefined;
 
-  const canRun = ({ hasConnection = false }: Pick<GateRequest, 'hasConnection'>) =>
-    running < limit && (hasConnection || runningOutsideTransactions < freeConnections());
+  const canRun = ({ hasConnection = false }: Pick<AdmissionRequest, 'hasConnection'>) =>
+    running < limit && (hasConnection || runningOutsideTransactions < countFreeConnections());
 
-  function startRunning({ hasConnection }: Pick<GateRequest, 'hasConnection'>): void {
+  function startRunning({ hasConnection }: Pick<AdmissionRequest, 'hasConnection'>): void {
     running += 1;
     if (!hasConnection) runningOutsideTransactions += 1;
   }
@@ -96,18 +104,18 @@
    * instances take an unknown part of the member's slots.
    */
   function estimateQueueWait(statements: number): number {
-    const interval = service.completionInterval() || expectedTime() / limit;
+    const interval = service.estimateCompletionInterval() || estimateStatementTime() / limit;
     return (statements + 1) * interval;
   }
 
   /** Statements of an open transaction do not wait for a connection. */
-  function estimateRequestWait({ priority, arrivedAt, hasConnection }: GateRequest): number {
+  function estimateRequestWait({ priority, arrivedAt, hasConnection }: AdmissionRequest): number {
     const ahead = waiters.filter(
       (waiter) =>
         waiter.priority < priority ||
         (waiter.priority === priority && waiter.arrivedAt <= arrivedAt),
     );
-    return (hasConnection ? 0 : delay()) + estimateQueueWait(ahead.length);
+    return (hasConnection ? 0 : estimateConnectionDelay()) + estimateQueueWait(ahead.length);
   }
 
   function admitWaiting(): void {
@@ -120,7 +128,7 @@
     }
   }
 
-  function enqueue(request: GateRequest): Promise<AdmissionResult> {
+  function enqueue(request: AdmissionRequest): Promise<AdmissionResult> {
     const {
       priority,
       arrivedAt,
@@ -140,7 +148,7 @@
           resolve(result);
         },
       };
-      cancelTimeout = clock.after(Math.min(timeLeft, queueTimeout), () => {
+      cancelTimeout = clock.runAfter(Math.min(timeLeft, queueTimeout), () => {
         removeWaiter(waiter);
         resolve(timeLeft <= queueTimeout ? 'tooLate' : 'notYet');
       });
@@ -152,29 +160,29 @@
   }
 
   return {
-    enter: (request) => {
+    requestAdmission: (request) => {
       if (canRun(request)) {
         startRunning(request);
         return Promise.resolve('admitted');
       }
-      const maximumWait = longestWait({
-        goal: request.goal,
+      const maximumWait = computeMaximumQueueWait({
+        latencyGoal: request.goal,
         timeLeft: request.deadlineAt - clock.now(),
-        queuedFor: uses('shortQueueInOverload') ? calculateQueuedTime() : 0,
+        timeSinceEmpty: isMechanismEnabled('shortQueueInOverload') ? calculateQueuedTime() : 0,
       });
       return estimateRequestWait(request) > maximumWait
         ? Promise.resolve('tooLate')
         : enqueue(request);
     },
-    leave: ({ hasConnection }) => {
+    release: ({ hasConnection }) => {
       running -= 1;
       if (!hasConnection) runningOutsideTransactions -= 1;
-      service.recordCompletion(expectedTime(), clock.now(), waiters.length > 0);
+      service.recordCompletion(estimateStatementTime(), clock.now(), waiters.length > 0);
       admitWaiting();
     },
     countStatements: () => running + waiters.length,
-    calculateCapacity: () => Math.min(limit, freeConnections()),
-    estimateWait: () => delay() + estimateQueueWait(waiters.length),
+    calculateCapacity: () => Math.min(limit, countFreeConnections()),
+    estimateWait: () => estimateConnectionDelay() + estimateQueueWait(waiters.length),
     hasRoom: () => canRun({}),
     admitWaiting,
   };
--- a/packages/gateway/src/lib/groups/statementRequest.ts
+++ b/packages/gateway/src/lib/groups/statementRequest.ts
@@ -1,8 +1,8 @@
 import type { PreparedStatement, SessionState, UpstreamCommand } from '@wisterialift/pooling';
-import { sharedStatementName } from '@wisterialift/pooling';
+import { getSharedStatementName } from '@wisterialift/pooling';
 import type { Position } from '@wisterialift/schema';
 import type { Route } from '../configuration/gatewayConfiguration';
-import type { AskedAt } from './groupContext';
+import type { SequencedTime } from './groupContext';
 
 /** State of a caller's session in its group. */
 export interface GroupSession {
@@ -19,9 +19,9 @@
   session: GroupSession;
   route: Route;
   /** Version of the configuration that contains the route. */
-  version: number;
+  configurationVersion: number;
   /** When the statement arrived. */
-  arrived: AskedAt;
+  arrivalStamp: SequencedTime;
   /** Deadline for the answer, in milliseconds of the monotonic clock. */
   deadlineAt: number;
 }
@@ -38,5 +38,5 @@
 ): UpstreamCommand {
   if (!prepared) return { type: 'forward', id, text, after };
   const { statement, argumentsText } = prepared;
-  return { type: 'execute', id, name: sharedStatementName(statement), argumentsText, after };
+  return { type: 'execute', id, name: getSharedStatementName(statement), argumentsText, after };
 }
