--- a/packages/gateway/src/lib/groups/groupAccess.ts
+++ b/packages/gateway/src/lib/groups/statementRunner.ts
@@ -1,9 +1,9 @@
 import type { UpstreamAnswer } from '@wisterialift/pooling';
-import type { AskedAt } from './groupContext';
+import type { SequencedTime } from './groupContext';
 import type { StatementRequest } from './statementRequest';
 
 /** Runs statements on a group, through connections of this instance or of another one. */
-export interface GroupAccess {
+export interface StatementRunner {
   /** Runs a read outside of a transaction. */
   read: (request: StatementRequest) => Promise<UpstreamAnswer>;
   /** Runs a write outside of a transaction. */
@@ -11,16 +11,16 @@
   /** Begins a transaction for its first statement. */
   openTransaction: (
     request: StatementRequest,
-    options: OpenOptions,
+    options: OpenTransactionOptions,
   ) => Promise<{ transaction: Transaction } | { refusal: UpstreamAnswer }>;
   /** Returns the sequence number and time of a statement that arrives now. */
-  markArrival: () => AskedAt;
+  createArrivalStamp: () => SequencedTime;
 }
 
-export interface OpenOptions {
+export interface OpenTransactionOptions {
   isReadOnly: boolean;
   /** When the caller began the transaction; its reads must be at least this current. */
-  began: AskedAt;
+  beginStamp: SequencedTime;
 }
 
 /** A transaction on one connection to one member. */
--- a/packages/gateway/src/lib/groups/transactionOpener.ts
+++ b/packages/gateway/src/lib/groups/transactionOpener.ts
@@ -2,22 +2,22 @@
 import type { Position } from '@wisterialift/schema';
 import { attemptCommand, recordLatency, runWithDeadline } from './attemptCommand';
 import { createSequencedTime, logIfLeaving, observeAnswer } from './groupContext';
-import type { GroupAccess, OpenOptions, Transaction } from './groupAccess';
+import type { StatementRunner, OpenTransactionOptions, Transaction } from './statementRunner';
 import type { GroupContext } from './groupContext';
 import { releaseConnection } from './releaseConnection';
 import type { Member } from './member';
 import { calculatePollDelay } from './primaryVerifier';
 import type { PrimaryVerifier } from './primaryVerifier';
 import type { ReadRouter } from './readRouter';
-import { refuse, refuseForNow, refuseUnroutable } from './refusals';
+import { refuseStatement, refuseTemporarily, refuseUnroutable } from './refusals';
 import { isWrite, toCommand } from './statementRequest';
 import type { StatementRequest } from './statementRequest';
 import { prepareConnection } from './upstreamPool';
 import type { PooledConnection } from './upstreamPool';
-import type { WriteRouter } from './writePath';
+import type { WriteRouter } from './writeRouter';
 
 export interface TransactionOpener {
-  open: GroupAccess['openTransaction'];
+  open: StatementRunner['openTransaction'];
 }
 
 /** Precedes callers' statements, whose priorities start at 0; lower goes first. */
@@ -46,12 +46,12 @@
 
   async function open(
     request: StatementRequest,
-    { isReadOnly, began }: OpenOptions,
+    { isReadOnly, beginStamp }: OpenTransactionOptions,
   ): Promise<{ transaction: Transaction } | { refusal: UpstreamAnswer }> {
     const canReadReplica = isReadOnly && request.route.consistency !== 'primary';
     const opened = canReadReplica
       ? await openOnReplica(request)
-      : await openOnPrimary(request, { isReadOnly, began });
+      : await openOnPrimary(request, { isReadOnly, beginStamp });
     return 'refusal' in opened ? opened : { transaction: createTransaction(opened) };
   }
 
@@ -70,7 +70,7 @@
 
   async function openOnPrimary(
     request: StatementRequest,
-    { isReadOnly, began }: OpenOptions,
+    { isReadOnly, beginStamp }: OpenTransactionOptions,
   ): Promise<OpenedTransaction | { refusal: UpstreamAnswer }> {
     const { deadlineAt } = request;
     const command: UpstreamCommand = { type: 'begin', isReadOnly };
@@ -88,7 +88,7 @@
     const verification = primaryVerifier.verifyCurrent({
       member,
       term: answer.position.term,
-      eventStamp: began,
+      eventStamp: beginStamp,
       maximumStaleness: request.route.maximumStaleness,
       pollDelay: calculatePollDelay(request.route),
       deadlineAt,
@@ -143,11 +143,11 @@
         deadlineAt,
         hasConnection: true,
       };
-      const admissionResult = await member.admission.enter(admissionRequest);
+      const admissionResult = await member.admission.requestAdmission(admissionRequest);
       // Without admission, the transaction ends as if the answer were lost.
       if (admissionResult !== 'admitted') return { type: canRun() ? 'lost' : 'notSent' };
       if (!canRun()) {
-        member.admission.leave(admissionRequest);
+        member.admission.release(admissionRequest);
         return { type: 'notSent' };
       }
       if (!hasRun) logIfLeaving(context, member, { requestId: request.id, queuedAt });
@@ -158,7 +158,7 @@
         command,
         deadlineAt: request.deadlineAt,
       });
-      const outcome = await running.finally(() => member.admission.leave(admissionRequest));
+      const outcome = await running.finally(() => member.admission.release(admissionRequest));
       recordLatency(context, member, sentStamp, outcome);
       if (outcome.type === 'answered') observeAnswer(context, member, sentStamp, outcome.answer);
       hasRun ||= !isBusy(outcome);
@@ -217,7 +217,7 @@
     async function runWithBusyRetries(request: StatementRequest): Promise<StepOutcome> {
       let outcome = await sendOnce(request);
       while (isBusy(outcome) && clock.now() + BUSY_RETRY_DELAY_MILLISECONDS < request.deadlineAt) {
-        await clock.pause(BUSY_RETRY_DELAY_MILLISECONDS);
+        await clock.sleep(BUSY_RETRY_DELAY_MILLISECONDS);
         outcome = await sendOnce(request);
       }
       return outcome;
@@ -231,7 +231,12 @@
         discard();
         context.suspectPrimary('silent', member);
         if (!hasWritten) return refuseAborted(request, 'the member did not answer the commit');
-        return refuse(context, request, 'unknownOutcome', 'the primary did not answer the commit');
+        return refuseStatement(
+          context,
+          request,
+          'unknownOutcome',
+          'the primary did not answer the commit',
+        );
       }
       const { answer } = outcome;
       end();
@@ -247,7 +252,12 @@
     ): UpstreamAnswer {
       if (answer.outcome === 'refused') return answer;
       if (!hasWritten) return refuseAborted(request, 'the primary may have been replaced');
-      return refuse(context, request, 'unknownOutcome', 'the primary may have been replaced');
+      return refuseStatement(
+        context,
+        request,
+        'unknownOutcome',
+        'the primary may have been replaced',
+      );
     }
 
     function rollBack(): void {
@@ -258,12 +268,12 @@
 
     function refuseFirstStatement(request: StatementRequest): UpstreamAnswer {
       rollBack();
-      const answer = refuseForNow(context, request, 'aborted', 'the member is leaving');
+      const answer = refuseTemporarily(context, request, 'aborted', 'the member is leaving');
       return { ...answer, transaction: 'failed' };
     }
 
     function refuseAborted(request: StatementRequest, detail: string): UpstreamAnswer {
-      return { ...refuse(context, request, 'aborted', detail), transaction: 'failed' };
+      return { ...refuseStatement(context, request, 'aborted', detail), transaction: 'failed' };
     }
 
     return {
--- a/packages/gateway/src/lib/groups/upstreamPool.ts
+++ b/packages/gateway/src/lib/groups/upstreamPool.ts
@@ -1,9 +1,9 @@
 import {
-  applyPreparation,
+  applyStateCommand,
   chooseNextStatement,
-  countDifferences,
+  countVariableCommands,
   createConnectionState,
-  planPreparation,
+  planStateRestore,
 } from '@wisterialift/pooling';
 import type {
   ConnectionState,
@@ -16,7 +16,7 @@
 import { NoConnectionError } from '../errors/noConnectionError';
 import { UpstreamLostError } from '../errors/upstreamLostError';
 import { UpstreamRefusedError } from '../errors/upstreamRefusedError';
-import type { UsesMechanism } from '../mechanisms';
+import type { IsMechanismEnabled } from '../mechanisms';
 import type { CancelTimer, Clock } from '../ports/clock';
 import type { UpstreamConnection, UpstreamDriver } from '../ports/upstreamPort';
 
@@ -69,7 +69,7 @@
   maximumConnections: number;
   /** Whether this instance keeps idle connections up to its fair share. */
   isHolder: () => boolean;
-  isMechanismEnabled: UsesMechanism;
+  isMechanismEnabled: IsMechanismEnabled;
   /** Called when a transaction no longer holds a connection. */
   onUnpinned: () => void;
   onUnreachable: (error: UpstreamLostError) => void;
@@ -144,7 +144,7 @@
           reject(error);
         },
       };
-      cancelTimeout = clock.after(request.deadlineAt - clock.now(), () => {
+      cancelTimeout = clock.runAfter(request.deadlineAt - clock.now(), () => {
         removeWaiter(waiter);
         reject(new NoConnectionError(`no connection to ${memberId} in time`));
       });
@@ -156,13 +156,13 @@
   /** Takes the idle connection that needs the fewest commands to match the session. */
   function takeIdle(session: SessionState): PooledConnection | undefined {
     let best: PooledConnection | undefined;
-    let bestDifferences = Infinity;
+    let lowestCommandCount = Infinity;
     // Prefer recently used connections, because long-idle ones are more likely to be dead.
     for (const candidate of idle.toReversed()) {
-      const differences = countDifferences(session, candidate.state);
-      if (candidate.upstream.isOpen() && differences < bestDifferences) {
+      const commandCount = countVariableCommands(session, candidate.state);
+      if (candidate.upstream.isOpen() && commandCount < lowestCommandCount) {
         best = candidate;
-        bestDifferences = differences;
+        lowestCommandCount = commandCount;
       }
     }
     if (best) idle.splice(idle.indexOf(best), 1);
@@ -220,7 +220,7 @@
       refusedAt = clock.now();
       pausedUntil = clock.now() + REFUSAL_RETRY_DELAY_MILLISECONDS;
       logger.warn('connectionPlacesExhausted', { group, memberId, open: connections.size });
-      clock.after(REFUSAL_RETRY_DELAY_MILLISECONDS, openForWaiters);
+      clock.runAfter(REFUSAL_RETRY_DELAY_MILLISECONDS, openForWaiters);
       return;
     }
     logger.warn('connectionNotOpened', { group, memberId, error });
@@ -339,11 +339,11 @@
   session: SessionState,
   statement?: PreparedStatement,
 ): Promise<UpstreamAnswer | undefined> {
-  const commands = planPreparation({ session, connection: connection.state, statement });
+  const commands = planStateRestore({ session, connection: connection.state, statement });
   if (commands.length === 0) return undefined;
   const answers = await Promise.all(commands.map((command) => connection.upstream.run(command)));
   const refused = answers.find(({ outcome }) => outcome === 'refused');
   if (refused) return refused;
-  for (const command of commands) applyPreparation(connection.state, command);
+  for (const command of commands) applyStateCommand(connection.state, command);
   return undefined;
 }
--- a/packages/gateway/src/lib/groups/writePath.ts
+++ b/packages/gateway/src/lib/groups/writeRouter.ts
@@ -1,5 +1,10 @@
-import { settleWrite } from '@wisterialift/pooling';
-import type { FailureReason, TermOrigin, UpstreamAnswer, WriteFate } from '@wisterialift/pooling';
+import { determineWriteOutcome } from '@wisterialift/pooling';
+import type {
+  FailureReason,
+  TermOrigin,
+  UpstreamAnswer,
+  WriteOutcome,
+} from '@wisterialift/pooling';
 import type { Position } from '@wisterialift/schema';
 import { attemptCommand } from './attemptCommand';
 import type { AttemptOutcome } from './attemptCommand';
@@ -8,7 +13,7 @@
 import type { Member } from './member';
 import { calculatePollDelay } from './primaryVerifier';
 import type { PrimaryVerifier } from './primaryVerifier';
-import { refuse, refuseUnroutable } from './refusals';
+import { refuseStatement, refuseUnroutable } from './refusals';
 import { toCommand } from './statementRequest';
 import type { StatementRequest } from './statementRequest';
 
@@ -45,7 +50,7 @@
  * Minimum time after a write's arrival for which the confirmation of its commit is awaited, even
  * beyond the request's deadline. Covers a change of primary, after which the outcome is known.
  */
-export const HOLD_MILLISECONDS = 3_500;
+export const COMMIT_CONFIRMATION_TIMEOUT_MILLISECONDS = 3_500;
 
 const NOT_RUN_REASONS: ReadonlySet<FailureReason> = new Set([
   'busy',
@@ -61,7 +66,7 @@
     readTermOrigin: () => Promise<TermOrigin | undefined>;
   },
 ): WriteRouter {
-  const { belief, clock, counters, group, leavingPolicy, logger } = context;
+  const { primaryTracker, clock, counters, group, leavingPolicy, logger } = context;
   const { primaryVerifier, readTermOrigin } = options;
 
   async function write(request: StatementRequest): Promise<UpstreamAnswer> {
@@ -74,7 +79,12 @@
     if (!result) return refuseUnroutable(context, request, 'busy', 'no primary can take the write');
     const { member, outcome } = result;
     if (outcome.type !== 'answered') {
-      return refuse(context, request, 'unknownOutcome', 'the primary did not answer the write');
+      return refuseStatement(
+        context,
+        request,
+        'unknownOutcome',
+        'the primary did not answer the write',
+      );
     }
     const { answer, connection } = outcome;
     releaseConnection(context, { member, connection, transaction: answer.transaction });
@@ -89,10 +99,10 @@
     { isPrimaryOnly, run }: Parameters<WriteRouter['runOnPrimary']>[1],
   ): Promise<{ member: Member; outcome: AttemptOutcome } | undefined> {
     while (canStillRun(request)) {
-      const member = belief.find();
+      const member = primaryTracker.find();
       if (!member || member.avoidUntil > clock.now() || !leavingPolicy.canAccept(member)) {
         if (!member) context.suspectPrimary('absent', undefined);
-        await belief.waitForChange(
+        await primaryTracker.waitForChange(
           Math.min(RETRY_DELAY_MILLISECONDS, request.deadlineAt - clock.now()),
         );
         continue;
@@ -113,7 +123,7 @@
   function recordConfirmation(member: Member, outcome: AttemptOutcome): void {
     if (outcome.type !== 'answered' || outcome.answer.outcome !== 'completed') return;
     const { position } = outcome.answer;
-    if (position) belief.confirmPrimary(member.entry.memberId, position.term);
+    if (position) primaryTracker.confirmPrimary(member.entry.memberId, position.term);
   }
 
   async function handleNotRun(member: Member, outcome: AttemptOutcome): Promise<void> {
@@ -125,9 +135,9 @@
       releaseConnection(context, { member, connection: outcome.connection, transaction });
       const isReplica =
         outcome.answer.outcome === 'refused' && outcome.answer.reason === 'readOnly';
-      if (isReplica) belief.rejectPrimary(member, outcome.answer.position?.term ?? 0);
+      if (isReplica) primaryTracker.rejectPrimary(member, outcome.answer.position?.term ?? 0);
     }
-    await belief.waitForChange(RETRY_DELAY_MILLISECONDS);
+    await primaryTracker.waitForChange(RETRY_DELAY_MILLISECONDS);
   }
 
   async function confirmCommit(
@@ -137,11 +147,14 @@
   ): Promise<UpstreamAnswer> {
     if (answer.outcome === 'refused') return answer;
     if (!answer.position) {
-      return refuse(context, request, 'unknownOutcome', 'the primary told no position');
+      return refuseStatement(context, request, 'unknownOutcome', 'the primary told no position');
     }
     const { position } = answer;
     const pollDelay = calculatePollDelay(request.route);
-    const deadlineAt = Math.max(request.deadlineAt, request.arrived.at + HOLD_MILLISECONDS);
+    const deadlineAt = Math.max(
+      request.deadlineAt,
+      request.arrivalStamp.at + COMMIT_CONFIRMATION_TIMEOUT_MILLISECONDS,
+    );
     const replication = await primaryVerifier.waitForReplication({
       member,
       position,
@@ -157,14 +170,14 @@
       return answer;
     }
     if (outcome === 'discarded') {
-      return refuse(
+      return refuseStatement(
         context,
         request,
         'aborted',
         'the primary was replaced before the write was copied',
       );
     }
-    return refuse(
+    return refuseStatement(
       context,
       request,
       'unknownOutcome',
@@ -175,9 +188,9 @@
   async function determineSupersededOutcome(
     request: StatementRequest,
     position: Position,
-  ): Promise<WriteFate> {
+  ): Promise<WriteOutcome> {
     const termOrigin = await readTermOrigin();
-    const outcome = settleWrite(position, termOrigin);
+    const outcome = determineWriteOutcome(position, termOrigin);
     logger.info('heldWriteSettled', {
       group,
       requestId: request.id,
--- a/packages/gateway/src/lib/mechanisms.ts
+++ b/packages/gateway/src/lib/mechanisms.ts
@@ -26,4 +26,4 @@
 export type Mechanism = (typeof MECHANISMS)[number];
 
 /** Returns whether a mechanism is enabled. */
-export type UsesMechanism = (mechanism: Mechanism) => boolean;
+export type IsMechanismEnabled = (mechanism: Mechanism) => boolean;
--- a/packages/gateway/src/lib/metrics/gatewayMetrics.ts
+++ b/packages/gateway/src/lib/metrics/gatewayMetrics.ts
@@ -46,7 +46,7 @@
     help: 'sessions of callers',
     registers,
     collect: () => {
-      sessions.set(gateway.sessionCount());
+      sessions.set(gateway.countSessions());
     },
   });
   for (const name of Object.keys(GROUP_COUNTERS) as (keyof typeof GROUP_COUNTERS)[]) {
@@ -56,7 +56,7 @@
       labelNames: ['group'],
       registers,
       collect: () => {
-        for (const [group, counters] of Object.entries(gateway.counters())) {
+        for (const [group, counters] of Object.entries(gateway.getCounters())) {
           gauge.set({ group }, counters[name]);
         }
       },
--- a/packages/gateway/src/lib/ports/callerPort.ts
+++ b/packages/gateway/src/lib/ports/callerPort.ts
@@ -12,14 +12,14 @@
   refuse: (reason: FailureReason, detail: string) => void;
   answer: (answer: CallerAnswer) => void;
   /** Closes the session once all answers have been sent. */
-  end: () => void;
+  close: () => void;
 }
 
 /** Protocol events of a session. @public */
 export interface CallerEvents {
   onStart: (database: string) => void;
   onStatement: (statement: CallerStatement) => void;
-  onLeave: () => void;
+  onDisconnect: () => void;
 }
 
 /** Accepts a new caller connection and returns its event handlers. @public */
--- a/packages/gateway/src/lib/ports/clock.ts
+++ b/packages/gateway/src/lib/ports/clock.ts
@@ -8,32 +8,32 @@
   /** Returns the monotonic time in milliseconds. */
   now: () => number;
   /** Reads the monotonic clock and the time of day, in milliseconds. */
-  readings: () => ClockReadings;
+  readClocks: () => ClockReadings;
   /** Runs an action once after a delay; a negative delay counts as 0. */
-  after: (milliseconds: number, action: () => void) => CancelTimer;
+  runAfter: (milliseconds: number, action: () => void) => CancelTimer;
   /** Runs an action at a fixed interval. */
-  every: (milliseconds: number, action: () => void) => CancelTimer;
-  pause: (milliseconds: number) => Promise<void>;
+  runEvery: (milliseconds: number, action: () => void) => CancelTimer;
+  sleep: (milliseconds: number) => Promise<void>;
 }
 
 /** Creates a clock based on the timers of the process. @public */
 export function createProcessClock(): Clock {
   const now = () => performance.now();
 
-  const after: Clock['after'] = (milliseconds, action) => {
+  const after: Clock['runAfter'] = (milliseconds, action) => {
     const timer = setTimeout(action, Math.max(0, milliseconds));
     return () => clearTimeout(timer);
   };
 
   return {
     now,
-    readings: () => ({ steady: now(), wall: Date.now() }),
-    after,
-    every: (milliseconds, action) => {
+    readClocks: () => ({ monotonic: now(), wall: Date.now() }),
+    runAfter: after,
+    runEvery: (milliseconds, action) => {
       const timer = setInterval(action, milliseconds);
       return () => clearInterval(timer);
     },
-    pause: (milliseconds) =>
+    sleep: (milliseconds) =>
       new Promise((resolve) => {
         after(milliseconds, resolve);
       }),
--- a/packages/gateway/src/lib/ports/instancePort.ts
+++ b/packages/gateway/src/lib/ports/instancePort.ts
@@ -1,8 +1,8 @@
 import type { RelayAcceptor, RelayStream, RelayStreamEvents } from '@wisterialift/peer/relay';
-import type { HolderCandidate } from '@wisterialift/pooling';
+import type { ConnectionHolderCandidate } from '@wisterialift/pooling';
 
 /** An entry of the instance registry. @public */
-export interface InstanceEntry extends HolderCandidate {
+export interface InstanceEntry extends ConnectionHolderCandidate {
   /** Address at which the instance accepts relay streams. */
   address: string;
 }
@@ -10,9 +10,9 @@
 /** Registry of all instances, including this one. @public */
 export interface InstanceRegistry {
   /** Registers this instance and calls `onChange` with the full list at each change. */
-  follow: (onChange: (instances: InstanceEntry[]) => void) => void;
+  registerInstance: (onChange: (instances: InstanceEntry[]) => void) => void;
   /** Reports an unreachable instance, which is removed unless it has registered again. */
-  reportGone: (instance: string) => void;
+  reportUnreachable: (instance: string) => void;
 }
 
 /** Opens and accepts relay streams between instances. @public */
--- a/packages/gateway/src/lib/ports/platformPort.ts
+++ b/packages/gateway/src/lib/ports/platformPort.ts
@@ -19,11 +19,11 @@
 }
 
 /** Freshness of a directory snapshot. @public */
-export interface DirectoryAge {
+export interface DirectoryFreshness {
   /** Whether it includes every change accepted before the read; if not, it may be seconds old. */
   isFresh: boolean;
   /** Changes new in this snapshot were accepted after this time; undefined if none has been fresh. */
-  newSince: ClockReadings | undefined;
+  changedAfter: ClockReadings | undefined;
 }
 
 /** Source of the directory of members. @public */
@@ -34,25 +34,25 @@
    * @param options.isPrompt - whether changes must arrive within the bounds of the platform; if
    *   not, occasional reads that may be seconds old are sufficient.
    */
-  follow: (options: {
-    onChange: (entries: DirectoryEntry[], age: DirectoryAge) => void;
+  subscribe: (options: {
+    onChange: (entries: DirectoryEntry[], freshness: DirectoryFreshness) => void;
     isPrompt: () => boolean;
   }) => void;
 }
 
 /** Source of configuration versions. @public */
 export interface ConfigurationPort {
-  follow: (onChange: (configuration: GatewayConfiguration) => void) => void;
+  subscribe: (onChange: (configuration: GatewayConfiguration) => void) => void;
 }
 
 /** A stored record and the revision to pass to the next replacement. @public */
-export interface StoredRecord {
+export interface StoredPromotionRecord {
   record: PromotionRecord;
   revision: number;
 }
 
 /** Outcome of a conditional replacement. @public */
-export type ReplaceOutcome =
+export type ReplacementOutcome =
   | { type: 'replaced'; revision: number }
   | { type: 'conflict' }
   /** No answer: the replacement may have been applied or may still be. */
@@ -61,20 +61,20 @@
 /** Stores one promotion record per group, with conditional updates. @public */
 export interface PromotionStore {
   /** @throws Error if the store does not answer. */
-  read: (group: string) => Promise<StoredRecord | undefined>;
+  read: (group: string) => Promise<StoredPromotionRecord | undefined>;
   /** Replaces the record if its revision matches; without a revision, creates it if none exists. */
   replace: (options: {
     group: string;
     record: PromotionRecord;
     revision?: number;
-  }) => Promise<ReplaceOutcome>;
+  }) => Promise<ReplacementOutcome>;
 }
 
 /** Outcome of a promotion order. @public */
-export type OrderOutcome = 'accepted' | 'notRunning' | 'refused' | 'unknown';
+export type PromotionOrderOutcome = 'accepted' | 'notRunning' | 'refused' | 'unknown';
 
 /** Sends promotion orders to the service that executes them. @public */
-export interface PromotionOrders {
+export interface PromotionOrderClient {
   promote: (order: {
     group: string;
     memberId: string;
@@ -82,5 +82,5 @@
     holder: string;
     token: number;
     timeoutMilliseconds: number;
-  }) => Promise<OrderOutcome>;
+  }) => Promise<PromotionOrderOutcome>;
 }
--- a/packages/gateway/src/lib/promotion/promotionTask.ts
+++ b/packages/gateway/src/lib/promotion/promotionController.ts
@@ -1,37 +1,45 @@
-import { CLAIM_TAKEOVER_MILLISECONDS, chooseCandidate, isClaimValid } from '@wisterialift/pooling';
+import {
+  CLAIM_TAKEOVER_MILLISECONDS,
+  choosePromotionCandidate,
+  isClaimValid,
+} from '@wisterialift/pooling';
 import type {
   ClockReadings,
   MemberReport,
   PromotionRecord,
-  StoppedReplica,
+  PausedReplica,
   TermOrigin,
 } from '@wisterialift/pooling';
 import { comparePositions } from '@wisterialift/schema';
 import type { Position } from '@wisterialift/schema';
 import type { GroupContext, SuspicionCause } from '../groups/groupContext';
 import type { Member } from '../groups/member';
-import { askMember } from '../groups/memberQuestions';
-import type { PromotionOrders, PromotionStore, StoredRecord } from '../ports/platformPort';
+import { sendMemberCommand } from '../groups/sendMemberCommand';
+import type {
+  PromotionOrderClient,
+  PromotionStore,
+  StoredPromotionRecord,
+} from '../ports/platformPort';
 
 /** Replaces a primary that is unresponsive, unreachable or leaving. */
-export interface PromotionTask {
+export interface PromotionController {
   /**
    * Checks a suspected primary failure and promotes a replica if it is confirmed. Ignored while a
    * check or promotion runs and for `RETRY_DELAY_MILLISECONDS` after it.
    */
-  suspect: (cause: SuspicionCause, member: Member | undefined) => void;
+  reportSuspicion: (cause: SuspicionCause, member: Member | undefined) => void;
   /** Starts a promotion check if the directory lists no primary or a replaceable leaving one. */
-  reviewDirectory: () => void;
+  checkDirectory: () => void;
   /** Reads the log position at which the newest recorded term began; undefined on a store error. */
   readTermOrigin: () => Promise<TermOrigin | undefined>;
   close: () => void;
 }
 
-export interface PromotionTaskOptions {
+export interface PromotionControllerOptions {
   instance: string;
   dataCentre: string;
   store: PromotionStore;
-  orders: PromotionOrders;
+  orders: PromotionOrderClient;
   /** Returns a uniform number in [0, 1). */
   random: () => number;
 }
@@ -66,11 +74,11 @@
 /** Time after which a promotion that has not taken effect may be repeated. */
 const PROMOTION_TIMEOUT_MILLISECONDS = 3_000;
 
-export function createPromotionTask(
+export function createPromotionController(
   context: GroupContext,
-  options: PromotionTaskOptions,
-): PromotionTask {
-  const { belief, clock, counters, evidence, group, logger, members } = context;
+  options: PromotionControllerOptions,
+): PromotionController {
+  const { primaryTracker, clock, counters, evidence, group, logger, members } = context;
   const { instance, dataCentre, orders, store } = options;
   let isBusy = false;
   let isClosed = false;
@@ -81,30 +89,30 @@
 
   const isMissing = (member: Member) => member.missingSince !== undefined;
 
-  function suspect(cause: SuspicionCause, member: Member | undefined): void {
+  function reportSuspicion(cause: SuspicionCause, member: Member | undefined): void {
     if (isBusy || isClosed || members.size === 0) return;
     if (cause === 'silent' && member && !isSilent(member)) return;
-    if (member && member !== belief.find()) return;
+    if (member && member !== primaryTracker.find()) return;
     isBusy = true;
     void handleSuspicion(cause, member).finally(() => {
-      clock.after(RETRY_DELAY_MILLISECONDS, () => {
+      clock.runAfter(RETRY_DELAY_MILLISECONDS, () => {
         isBusy = false;
       });
     });
   }
 
-  function reviewDirectory(): void {
-    const primary = belief.find();
+  function checkDirectory(): void {
+    const primary = primaryTracker.find();
     if (!primary) {
-      if (members.size > 0) suspect('absent', undefined);
+      if (members.size > 0) reportSuspicion('absent', undefined);
       return;
     }
-    if (primary.entry.isLeaving && hasCandidate(primary)) suspect('leaving', primary);
+    if (primary.entry.isLeaving && hasCandidate(primary)) reportSuspicion('leaving', primary);
   }
 
   async function handleSuspicion(cause: SuspicionCause, member: Member | undefined): Promise<void> {
     try {
-      await clock.pause(options.random() * MAXIMUM_START_JITTER_MILLISECONDS);
+      await clock.sleep(options.random() * MAXIMUM_START_JITTER_MILLISECONDS);
       logger.warn('primarySuspected', { group, cause, memberId: member?.entry.memberId });
       if (await isPromotionRuledOut(cause, member)) return;
       await promote(cause, member);
@@ -132,7 +140,7 @@
       return true;
     }
     if (cause === 'leaving') return !hasResponseFromEveryReplica(before);
-    await clock.pause(REPLICATION_CHECK_INTERVAL_MILLISECONDS);
+    await clock.sleep(REPLICATION_CHECK_INTERVAL_MILLISECONDS);
     const after = await queryMembers(member);
     if (hasReplicationAdvanced(before, after)) {
       logger.info('primaryCleared', { group, cause, detail: 'replicas still receive its log' });
@@ -162,7 +170,7 @@
       listedMembers.map(async (member) => ({
         member,
         isSuspect: member === primary,
-        report: await askMember(
+        report: await sendMemberCommand(
           context,
           member,
           { type: 'status' },
@@ -211,14 +219,14 @@
     if (stored && (isHeldByOther(stored) || isPromotionPending(stored, primary))) return undefined;
     const token = (stored?.record.token ?? 0) + 1;
     const record: PromotionRecord = { ...stored?.record, holder: instance, token, isClaimed: true };
-    const claimedAt = clock.readings();
+    const claimedAt = clock.readClocks();
     const outcome = await store.replace({ group, record, revision: stored?.revision });
     logger.info('dutyClaimed', { group, token, outcome: outcome.type });
     if (outcome.type !== 'replaced') return undefined;
     return { record, revision: outcome.revision, claimedAt };
   }
 
-  function isHeldByOther({ record, revision }: StoredRecord): boolean {
+  function isHeldByOther({ record, revision }: StoredPromotionRecord): boolean {
     if (!record.isClaimed) return false;
     return getRevisionAge(revision) < CLAIM_TAKEOVER_MILLISECONDS;
   }
@@ -227,7 +235,7 @@
    * Whether a recent promotion already replaces the suspected primary. Without this check, every
    * instance that suspects the primary would order its own promotion.
    */
-  function isPromotionPending(stored: StoredRecord, primary: Member | undefined): boolean {
+  function isPromotionPending(stored: StoredPromotionRecord, primary: Member | undefined): boolean {
     const { started } = stored.record;
     if (!started || started.primaryId === primary?.entry.memberId) return false;
     return getRevisionAge(stored.revision) < PROMOTION_TIMEOUT_MILLISECONDS;
@@ -244,12 +252,12 @@
    * primary. Returns undefined if a listed replica does not answer: it may hold acknowledged writes
    * that no other replica has.
    */
-  async function pauseReplicas(primary: Member | undefined): Promise<StoppedReplica[] | undefined> {
+  async function pauseReplicas(primary: Member | undefined): Promise<PausedReplica[] | undefined> {
     const replicas = [...members.values()].filter((member) => member !== primary);
-    const command = { type: 'pause' as const, term: evidence.highestTerm() + 1 };
+    const command = { type: 'pause' as const, term: evidence.getHighestTerm() + 1 };
     const reports = await Promise.all(
       replicas.map((member) =>
-        askMember(context, member, command, MEMBER_REQUEST_TIMEOUT_MILLISECONDS),
+        sendMemberCommand(context, member, command, MEMBER_REQUEST_TIMEOUT_MILLISECONDS),
       ),
     );
     // A replica that is primary by now was promoted by another instance. Promoting a second member
@@ -264,7 +272,7 @@
     return replicas.flatMap((member, index) => toPausedReplicas(member, reports[index]?.received));
   }
 
-  function toPausedReplicas(member: Member, received: Position | undefined): StoppedReplica[] {
+  function toPausedReplicas(member: Member, received: Position | undefined): PausedReplica[] {
     if (!received) return [];
     const { memberId, isLeaving, dataCentre: memberDataCentre } = member.entry;
     return [{ memberId, received, isLeaving, isPreferred: memberDataCentre === dataCentre }];
@@ -274,11 +282,11 @@
     cause: SuspicionCause;
     primary: Member | undefined;
     claim: Claim;
-    pausedReplicas: StoppedReplica[];
+    pausedReplicas: PausedReplica[];
   }): Promise<void> {
     const { cause, primary, claim, pausedReplicas } = plan;
-    const candidate = chooseCandidate(pausedReplicas);
-    if (!candidate || !isClaimValid(claim.claimedAt, clock.readings())) {
+    const candidate = choosePromotionCandidate(pausedReplicas);
+    if (!candidate || !isClaimValid(claim.claimedAt, clock.readClocks())) {
       logger.warn('promotionGivenUp', { group, cause, token: claim.record.token });
       await abandonPromotion(claim, primary);
       return;
@@ -298,7 +306,7 @@
       await releaseClaim(claim);
       return;
     }
-    const term = evidence.highestTerm() + 1;
+    const term = evidence.getHighestTerm() + 1;
     await releaseClaim(claim, { term, primaryId: memberId, origin });
     await awaitPromotion(memberId, { term, primary });
   }
@@ -309,10 +317,15 @@
    */
   async function abandonPromotion(claim: Claim, primary: Member | undefined): Promise<void> {
     const replicas = [...members.values()].filter((member) => member !== primary);
-    if (isClaimValid(claim.claimedAt, clock.readings())) {
+    if (isClaimValid(claim.claimedAt, clock.readClocks())) {
       await Promise.all(
         replicas.map((member) =>
-          askMember(context, member, { type: 'resume' }, MEMBER_REQUEST_TIMEOUT_MILLISECONDS),
+          sendMemberCommand(
+            context,
+            member,
+            { type: 'resume' },
+            MEMBER_REQUEST_TIMEOUT_MILLISECONDS,
+          ),
         ),
       );
     }
@@ -335,10 +348,10 @@
     const startedAt = clock.now();
     while (clock.now() - startedAt < PROMOTION_TIMEOUT_MILLISECONDS) {
       const promotedMember = members.get(memberId);
-      if (!promotedMember || belief.find() === promotedMember) break;
-      await belief.waitForChange(PROMOTION_WAIT_MILLISECONDS);
-      if (belief.find() !== promotedMember) {
-        await askMember(
+      if (!promotedMember || primaryTracker.find() === promotedMember) break;
+      await primaryTracker.waitForChange(PROMOTION_WAIT_MILLISECONDS);
+      if (primaryTracker.find() !== promotedMember) {
+        await sendMemberCommand(
           context,
           promotedMember,
           { type: 'status' },
@@ -348,7 +361,7 @@
     }
     logger.info('promotionFollowed', { group, memberId, milliseconds: clock.now() - startedAt });
     if (primary && members.has(primary.entry.memberId)) {
-      await askMember(
+      await sendMemberCommand(
         context,
         primary,
         { type: 'demote', term },
@@ -367,8 +380,8 @@
   }
 
   return {
-    suspect,
-    reviewDirectory,
+    reportSuspicion,
+    checkDirectory,
     readTermOrigin,
     close: () => {
       isClosed = true;
--- a/packages/gateway/src/lib/relay/holderSelector.ts
+++ b/packages/gateway/src/lib/relay/holderSelector.ts
@@ -1,7 +1,7 @@
-import { planHolders } from '@wisterialift/pooling';
-import type { HolderPlan } from '@wisterialift/pooling';
+import { planConnectionHolders } from '@wisterialift/pooling';
+import type { ConnectionHolderPlan } from '@wisterialift/pooling';
 import type { Logger } from '@wisterialift/telemetry';
-import type { UsesMechanism } from '../mechanisms';
+import type { IsMechanismEnabled } from '../mechanisms';
 import type { Clock } from '../ports/clock';
 import type { InstanceEntry, InstanceRegistry, RelayTransport } from '../ports/instancePort';
 import { createPeerLink } from './peerLink';
@@ -32,7 +32,7 @@
   logger: Logger;
   transport: RelayTransport;
   registry: InstanceRegistry;
-  uses: UsesMechanism;
+  isMechanismEnabled: IsMechanismEnabled;
   /** Called when a group is assigned to holders, so that relayed statements may arrive. */
   onHoldersAssigned: () => void;
 }
@@ -54,20 +54,33 @@
 }
 
 export function createHolderSelector(options: HolderSelectorOptions): HolderSelector {
-  const { instance, dataCentre, clock, logger, transport, registry, uses, onHoldersAssigned } =
-    options;
+  const {
+    instance,
+    dataCentre,
+    clock,
+    logger,
+    transport,
+    registry,
+    isMechanismEnabled,
+    onHoldersAssigned,
+  } = options;
   const peers = new Map<string, Peer>();
   const limits = new Map<string, number>();
-  const plans = new Map<string, HolderPlan>();
+  const plans = new Map<string, ConnectionHolderPlan>();
   let instances: InstanceEntry[] | undefined;
 
-  function getPlan(group: string): HolderPlan {
+  function getPlan(group: string): ConnectionHolderPlan {
     const known = plans.get(group);
     if (known) return known;
     const maximumConnections = limits.get(group);
     if (!instances || maximumConnections === undefined) return { type: 'everyone' };
-    if (!uses('holders')) return { type: 'everyone' };
-    const plan = planHolders({ group, candidates: instances, dataCentre, maximumConnections });
+    if (!isMechanismEnabled('holders')) return { type: 'everyone' };
+    const plan = planConnectionHolders({
+      group,
+      candidates: instances,
+      dataCentre,
+      maximumConnections,
+    });
     plans.set(group, plan);
     logger.info('holdersPlanned', { group, instances: instances.length, ...plan });
     return plan;
@@ -91,7 +104,7 @@
   };
 
   /** Selects reachable holders of this data centre, or of the others if there are none. */
-  function selectHolders(plan: HolderPlan & { type: 'holders' }): string[] {
+  function selectHolders(plan: ConnectionHolderPlan & { type: 'holders' }): string[] {
     const near = plan.near.filter(isReachable).slice(0, plan.nearCount);
     return near.length > 0 ? near : plan.far.filter(isReachable);
   }
@@ -133,7 +146,7 @@
       failingSince,
       reconnectAt: now + Math.min(MAXIMUM_RECONNECT_DELAY_MILLISECONDS, reconnectDelay),
     });
-    if (now - failingSince > UNREACHABLE_THRESHOLD_MILLISECONDS) registry.reportGone(name);
+    if (now - failingSince > UNREACHABLE_THRESHOLD_MILLISECONDS) registry.reportUnreachable(name);
   }
 
   function updateInstances(next: InstanceEntry[]): void {
--- a/packages/gateway/src/lib/relay/peerLink.ts
+++ b/packages/gateway/src/lib/relay/peerLink.ts
@@ -72,7 +72,7 @@
     onResponse: handleResponse,
     onLost: handleLoss,
   });
-  const cancelOpening = clock.after(OPEN_TIMEOUT_MILLISECONDS, () => {
+  const cancelOpening = clock.runAfter(OPEN_TIMEOUT_MILLISECONDS, () => {
     handleLoss(new Error(`instance at ${address} did not open a stream in time`));
   });
 
@@ -155,7 +155,7 @@
     lastCheckAt = lastReceivedAt;
     probeSentAt = undefined;
     stopLivenessChecks?.();
-    stopLivenessChecks = clock.every(LIVENESS_CHECK_INTERVAL_MILLISECONDS, checkLiveness);
+    stopLivenessChecks = clock.runEvery(LIVENESS_CHECK_INTERVAL_MILLISECONDS, checkLiveness);
   }
 
   async function request(content: RelayRequestFields, answerBy: number): Promise<RelayOutcome> {
@@ -164,7 +164,7 @@
     lastRequestNumber += 1;
     const number = lastRequestNumber;
     return new Promise((resolve) => {
-      const cancelLimit = clock.after(answerBy - clock.now(), () => {
+      const cancelLimit = clock.runAfter(answerBy - clock.now(), () => {
         settleRequest(number, { type: 'lost' });
       });
       pendingRequests.set(number, {
--- a/packages/gateway/src/lib/relay/relayMessages.ts
+++ b/packages/gateway/src/lib/relay/relayMessages.ts
@@ -9,7 +9,7 @@
 import { createSessionState } from '@wisterialift/pooling';
 import type { Position } from '@wisterialift/schema';
 import type { Consistency, Route } from '../configuration/gatewayConfiguration';
-import type { AskedAt } from '../groups/groupContext';
+import type { SequencedTime } from '../groups/groupContext';
 import type { GroupSession, StatementRequest } from '../groups/statementRequest';
 import { RelayMessageError } from '../errors/relayMessageError';
 
@@ -42,7 +42,7 @@
   request: StatementRequest,
   options: { action: RelayAction; transaction?: RelayedTransaction; now: number },
 ): RelayStatement {
-  const { id, text, prepared, session, route, version, deadlineAt } = request;
+  const { id, text, prepared, session, route, configurationVersion, deadlineAt } = request;
   const { action, transaction, now } = options;
   return {
     action,
@@ -54,7 +54,7 @@
     prepared: prepared && { ...prepared.statement, argumentsText: prepared.argumentsText },
     values: Object.fromEntries(session.state.values),
     lastCommit: encodeCommit(session.lastCommit, now),
-    route: encodeRoute(route, version),
+    route: encodeRoute(route, configurationVersion),
     timeLeftMilliseconds: Math.max(0, Math.round(deadlineAt - now)),
   };
 }
@@ -72,14 +72,14 @@
  */
 export function decodeStatement(
   statement: RelayStatement,
-  options: { arrived: AskedAt },
+  options: { arrivalStamp: SequencedTime },
 ): StatementRequest {
   const { id, text, prepared, values, lastCommit, timeLeftMilliseconds } = statement;
-  const { arrived } = options;
+  const { arrivalStamp } = options;
   const { route, version } = decodeRoute(statement);
   const session: GroupSession = {
     state: { ...createSessionState(), values: new Map(Object.entries(values)) },
-    lastCommit: decodeCommit(lastCommit, arrived.at),
+    lastCommit: decodeCommit(lastCommit, arrivalStamp.at),
   };
   return {
     id,
@@ -93,9 +93,9 @@
     },
     session,
     route,
-    version,
-    arrived,
-    deadlineAt: arrived.at + timeLeftMilliseconds,
+    configurationVersion: version,
+    arrivalStamp,
+    deadlineAt: arrivalStamp.at + timeLeftMilliseconds,
   };
 }
 
--- a/packages/gateway/src/lib/relay/relayService.ts
+++ b/packages/gateway/src/lib/relay/relayService.ts
@@ -10,7 +10,7 @@
 import type { ActiveConfiguration } from '../configuration/activeConfiguration';
 import { decodeConfiguration, encodeConfiguration } from '../configuration/gatewayConfiguration';
 import { RelayMessageError } from '../errors/relayMessageError';
-import type { GroupAccess, Transaction } from '../groups/groupAccess';
+import type { StatementRunner, Transaction } from '../groups/statementRunner';
 import type { StatementRequest } from '../groups/statementRequest';
 import type { Clock } from '../ports/clock';
 import { decodeAction, decodeRoute, decodeStatement, encodeAnswer } from './relayMessages';
@@ -29,8 +29,8 @@
 
 export interface RelayServiceOptions {
   configuration: ActiveConfiguration;
-  /** Returns the access to a group over this instance's own connections. */
-  findGroup: (group: string) => GroupAccess | undefined;
+  /** Returns the runner of a group's statements over this instance's own connections. */
+  findRunner: (group: string) => StatementRunner | undefined;
   /** Resolves once the directory is fresh, or after a timeout. */
   refreshDirectory: () => Promise<void>;
   clock: Clock;
@@ -53,19 +53,19 @@
 type Handler = (options: {
   statement: RelayStatement;
   request: StatementRequest;
-  task: GroupAccess;
+  runner: StatementRunner;
   transactions: StreamTransactions;
 }) => Promise<UpstreamAnswer>;
 
 export function createRelayService(options: RelayServiceOptions): RelayService {
-  const { configuration, findGroup, refreshDirectory, clock, logger } = options;
+  const { configuration, findRunner, refreshDirectory, clock, logger } = options;
   const streams = new Map<Respond, StreamTransactions>();
   let runningStatements = 0;
   let isDraining = false;
 
   const handlers: Record<RelayAction, Handler> = {
-    read: ({ request, task }) => task.read(request),
-    write: ({ request, task }) => task.write(request),
+    read: ({ request, runner }) => runner.read(request),
+    write: ({ request, runner }) => runner.write(request),
     run: async (input) => {
       const found = await findOrBeginTransaction(input);
       if ('refusal' in found) return found.refusal;
@@ -92,14 +92,17 @@
   async function findOrBeginTransaction({
     statement,
     request,
-    task,
+    runner,
     transactions,
   }: Parameters<Handler>[0]): Promise<{ transaction: Transaction } | { refusal: UpstreamAnswer }> {
     const { transaction: number, isReadOnly } = statement;
     const entry = transactions.get(number);
     if (!entry) return { refusal: createEndedRefusal() };
     if (entry.transaction) return { transaction: entry.transaction };
-    const opened = await task.openTransaction(request, { isReadOnly, began: request.arrived });
+    const opened = await runner.openTransaction(request, {
+      isReadOnly,
+      beginStamp: request.arrivalStamp,
+    });
     if ('refusal' in opened) {
       transactions.delete(number);
       return opened;
@@ -138,10 +141,10 @@
       return undefined;
     }
     await refreshDirectory();
-    const task = findGroup(route.group);
-    if (!task) throw new RelayMessageError(`unknown group: ${route.group}`);
-    const request = decodeStatement(statement, { arrived: task.markArrival() });
-    const answer = await handlers[action]({ statement, request, task, transactions });
+    const runner = findRunner(route.group);
+    if (!runner) throw new RelayMessageError(`unknown group: ${route.group}`);
+    const request = decodeStatement(statement, { arrivalStamp: runner.createArrivalStamp() });
+    const answer = await handlers[action]({ statement, request, runner, transactions });
     return encodeAnswer(answer, { lastCommit: request.session.lastCommit, now: clock.now() });
   }
 
--- a/packages/gateway/src/lib/relay/relayedGroup.ts
+++ b/packages/gateway/src/lib/relay/relayedGroup.ts
@@ -4,12 +4,16 @@
 import { CONFIGURATION_WAIT_MILLISECONDS } from '../configuration/activeConfiguration';
 import type { ActiveConfiguration } from '../configuration/activeConfiguration';
 import { decodeConfiguration, encodeConfiguration } from '../configuration/gatewayConfiguration';
-import type { GroupAccess, OpenOptions, Transaction } from '../groups/groupAccess';
-import type { GroupTask } from '../groups/groupTask';
-import { refuse as refuseStatement, refuseForNow } from '../groups/refusals';
+import type {
+  StatementRunner,
+  OpenTransactionOptions,
+  Transaction,
+} from '../groups/statementRunner';
+import type { GroupRouter } from '../groups/groupRouter';
+import { refuseStatement, refuseTemporarily } from '../groups/refusals';
 import { isWrite } from '../groups/statementRequest';
 import type { StatementRequest } from '../groups/statementRequest';
-import { HOLD_MILLISECONDS } from '../groups/writePath';
+import { COMMIT_CONFIRMATION_TIMEOUT_MILLISECONDS } from '../groups/writeRouter';
 import type { Clock } from '../ports/clock';
 import type { HolderSelector } from './holderSelector';
 import type { PeerLink } from './peerLink';
@@ -19,7 +23,7 @@
 export interface RelayedGroupOptions {
   group: string;
   /** Runs statements over this instance's own connections if no holder is selected. */
-  local: GroupTask;
+  local: GroupRouter;
   holders: HolderSelector;
   configuration: ActiveConfiguration;
   /** Resolves once the directory is fresh, or after a timeout. */
@@ -42,8 +46,8 @@
   | { type: 'otherVersion'; version: number }
   | { type: 'notSent' | 'lost' };
 
-/** Creates a group access that relays statements to the instances holding its connections. */
-export function createRelayedGroup(options: RelayedGroupOptions): GroupAccess {
+/** Creates a statement runner that relays them to the instances holding its connections. */
+export function createRelayedGroup(options: RelayedGroupOptions): StatementRunner {
   const { group, local, holders, configuration, clock, refreshDirectory, logger, random } = options;
 
   const refusalContext = { group, clock, counters: local.counters, logger, random };
@@ -55,7 +59,10 @@
   ): Promise<SendOutcome> {
     local.counters.relayed += 1;
     const statement = encodeStatement(request, { ...sent, now: clock.now() });
-    const limit = Math.max(request.deadlineAt, request.arrived.at + HOLD_MILLISECONDS);
+    const limit = Math.max(
+      request.deadlineAt,
+      request.arrivalStamp.at + COMMIT_CONFIRMATION_TIMEOUT_MILLISECONDS,
+    );
     const outcome = await link.request({ statement }, limit + ANSWER_MARGIN_MILLISECONDS);
     if (outcome.type !== 'answered') {
       logger.warn('relayFailed', { group, requestId: request.id, ...sent, outcome: outcome.type });
@@ -115,7 +122,7 @@
       if (!route || route.group !== group) {
         return { type: 'answered', answer: refuseRerouted(request) };
       }
-      Object.assign(request, { route, version });
+      Object.assign(request, { route, configurationVersion: version });
     }
   }
 
@@ -123,7 +130,7 @@
     const { database } = request.route;
     const isDropped = !configuration.findRoute(database)?.route;
     if (isDropped) return refuse(request, 'unknownDatabase', `no route leads to ${database}`);
-    return refuseForNow(refusalContext, request, 'busy', `${database} has just moved`);
+    return refuseTemporarily(refusalContext, request, 'busy', `${database} has just moved`);
   }
 
   function refuse(
@@ -147,7 +154,7 @@
       const outcome = await sendWithMatchingVersion(link, request, { action: 'read' });
       if (outcome.type === 'answered') return outcome.answer;
     }
-    return refuseForNow(refusalContext, request, 'aborted', 'no instance could run the read');
+    return refuseTemporarily(refusalContext, request, 'aborted', 'no instance could run the read');
   }
 
   /** Never resends a write that may have been sent. */
@@ -161,13 +168,13 @@
         return refuse(request, 'unknownOutcome', 'the instance that ran the write was lost');
       }
     }
-    return refuseForNow(refusalContext, request, 'busy', 'no instance could run the write');
+    return refuseTemporarily(refusalContext, request, 'busy', 'no instance could run the write');
   }
 
   async function openTransaction(
     request: StatementRequest,
-    opening: OpenOptions,
-  ): ReturnType<GroupAccess['openTransaction']> {
+    opening: OpenTransactionOptions,
+  ): ReturnType<StatementRunner['openTransaction']> {
     const link = holders.selectLink(group);
     if (!link) return runLocally(() => local.openTransaction(request, opening));
     return { transaction: createRelayedTransaction(link, opening) };
@@ -227,5 +234,5 @@
     };
   }
 
-  return { read, write, openTransaction, markArrival: local.markArrival };
+  return { read, write, openTransaction, createArrivalStamp: local.createArrivalStamp };
 }
--- a/packages/gateway/src/lib/sessions/callerSession.ts
+++ b/packages/gateway/src/lib/sessions/callerSession.ts
@@ -3,8 +3,8 @@
 import type { Logger } from '@wisterialift/telemetry';
 import type { Route } from '../configuration/gatewayConfiguration';
 import type { ActiveConfiguration } from '../configuration/activeConfiguration';
-import type { GroupAccess, Transaction } from '../groups/groupAccess';
-import type { AskedAt } from '../groups/groupContext';
+import type { StatementRunner, Transaction } from '../groups/statementRunner';
+import type { SequencedTime } from '../groups/groupContext';
 import type { GroupSession, StatementRequest } from '../groups/statementRequest';
 import type { CallerAnswer, CallerEvents, CallerLink } from '../ports/callerPort';
 import type { CancelTimer, Clock } from '../ports/clock';
@@ -23,7 +23,7 @@
   clock: Clock;
   logger: Logger;
   configuration: ActiveConfiguration;
-  findGroup: (group: string) => GroupAccess | undefined;
+  findRunner: (group: string) => StatementRunner | undefined;
   onEnd: () => void;
   onAnswered: (sample: AnswerSample) => void;
 }
@@ -40,9 +40,9 @@
 interface OpenTransaction {
   route: Route;
   version: number;
-  task: GroupAccess;
+  runner: StatementRunner;
   isReadOnly: boolean;
-  began: AskedAt;
+  beginStamp: SequencedTime;
   upstream?: Transaction;
   isFailed: boolean;
 }
@@ -56,7 +56,7 @@
 ) => Promise<CallerAnswer> | CallerAnswer;
 
 export function createCallerSession(options: CallerSessionOptions): CallerSession {
-  const { link, clock, logger, configuration, findGroup, onEnd, onAnswered } = options;
+  const { link, clock, logger, configuration, findRunner, onEnd, onAnswered } = options;
   const session: GroupSession = { state: createSessionState(), lastCommit: undefined };
   let database = '';
   let transaction: OpenTransaction | undefined;
@@ -77,11 +77,11 @@
       return createCompletedAnswer();
     },
     prepare: ({ name, access, shape }) => {
-      session.state.prepared.set(name, { access, shape });
+      session.state.preparedStatements.set(name, { access, shape });
       return createCompletedAnswer();
     },
     execute: (statement) => {
-      const prepared = session.state.prepared.get(statement.name);
+      const prepared = session.state.preparedStatements.get(statement.name);
       if (!prepared) return createRefusal('unknownStatement', `${statement.name} is not prepared`);
       return runStatement(statement, {
         statement: prepared,
@@ -89,7 +89,7 @@
       });
     },
     deallocate: ({ name }) => {
-      if (session.state.prepared.delete(name)) return createCompletedAnswer();
+      if (session.state.preparedStatements.delete(name)) return createCompletedAnswer();
       return createRefusal('unknownStatement', `${name} is not prepared`);
     },
     unknown: ({ text }) => createRefusal('malformed', `not a statement: ${text.slice(0, 40)}`),
@@ -112,7 +112,7 @@
   /** Waits for the first configuration after a process start instead of refusing the session. */
   async function startWhenConfigured(name: string, waitUntil: number): Promise<void> {
     while (!isEnded && !configuration.get() && clock.now() < waitUntil) {
-      await clock.pause(START_POLL_INTERVAL_MILLISECONDS);
+      await clock.sleep(START_POLL_INTERVAL_MILLISECONDS);
     }
     if (isEnded) return;
     if (configuration.get()) onStart(name);
@@ -170,27 +170,27 @@
     if (transaction) return createRefusal('malformed', 'a transaction is open already');
     const found = findRoutedGroup();
     if ('refusal' in found) return found.refusal;
-    const { route, version, task } = found;
+    const { route, version, runner } = found;
     transaction = {
       route,
       version,
-      task,
+      runner,
       isReadOnly,
-      began: task.markArrival(),
+      beginStamp: runner.createArrivalStamp(),
       isFailed: false,
     };
     return createCompletedAnswer();
   }
 
   function findRoutedGroup():
-    { route: Route; version: number; task: GroupAccess } | { refusal: CallerAnswer } {
+    { route: Route; version: number; runner: StatementRunner } | { refusal: CallerAnswer } {
     const found = configuration.findRoute(database);
     if (!found?.route) {
       return { refusal: createRefusal('unknownDatabase', `no route leads to ${database}`) };
     }
     const { route, version } = found;
-    const task = findGroup(route.group);
-    if (task) return { route, version, task };
+    const runner = findRunner(route.group);
+    if (runner) return { route, version, runner };
     return {
       refusal: createRefusal('busy', `no database of ${route.group} is known, come back later`),
     };
@@ -203,10 +203,10 @@
     if (transaction) return runInTransaction(transaction, statement, prepared);
     const found = findRoutedGroup();
     if ('refusal' in found) return found.refusal;
-    const { task } = found;
+    const { runner } = found;
     const request = createRequest(statement, found, prepared);
     const isWrite = (prepared?.statement.access ?? statement.type) === 'write';
-    const answer = await (isWrite ? task.write(request) : task.read(request));
+    const answer = await (isWrite ? runner.write(request) : runner.read(request));
     return toCallerAnswer(answer, 'idle');
   }
 
@@ -215,17 +215,26 @@
     {
       route,
       version,
-      task,
+      runner,
     }: {
       route: Route;
       version: number;
-      task: GroupAccess;
+      runner: StatementRunner;
     },
     prepared?: StatementRequest['prepared'],
   ): StatementRequest {
     const deadlineAt = clock.now() + route.timeout;
-    const arrived = task.markArrival();
-    return { id, text, prepared, session, route, version, arrived, deadlineAt };
+    const arrivalStamp = runner.createArrivalStamp();
+    return {
+      id,
+      text,
+      prepared,
+      session,
+      route,
+      configurationVersion: version,
+      arrivalStamp,
+      deadlineAt,
+    };
   }
 
   async function runInTransaction(
@@ -247,8 +256,8 @@
     request: StatementRequest,
   ): Promise<UpstreamAnswer | undefined> {
     if (open.upstream) return undefined;
-    const { isReadOnly, began } = open;
-    const opened = await open.task.openTransaction(request, { isReadOnly, began });
+    const { isReadOnly, beginStamp } = open;
+    const opened = await open.runner.openTransaction(request, { isReadOnly, beginStamp });
     if ('refusal' in opened) return opened.refusal;
     Object.assign(open, { upstream: opened.transaction });
     if (isEnded) opened.transaction.rollBack();
@@ -314,7 +323,7 @@
     const open = transaction;
     const idle = configuration.get()?.transactionIdle;
     if (!open?.upstream || open.isFailed || !idle) return;
-    cancelIdleTimer = clock.after(idle, () => {
+    cancelIdleTimer = clock.runAfter(idle, () => {
       logger.info('transactionIdle', { database, idleMilliseconds: idle });
       abortTransaction();
     });
@@ -328,7 +337,7 @@
 
   function endIfDrained(): void {
     if (!isDraining || isEnded || pendingStatements > 0 || transaction) return;
-    link.end();
+    link.close();
     endSession();
   }
 
@@ -341,7 +350,7 @@
   }
 
   return {
-    events: { onStart, onStatement, onLeave: endSession },
+    events: { onStart, onStatement, onDisconnect: endSession },
     drain: () => {
       isDraining = true;
       endIfDrained();
--- a/packages/gateway/src/lib/timing/withinTime.ts
+++ b/packages/gateway/src/lib/timing/promiseTimeout.ts
@@ -8,14 +8,14 @@
 const MINIMUM_TIMEOUT_MILLISECONDS = 1;
 
 /** Waits for a promise for at most `milliseconds`; ignores a result or error after that. */
-export function settleWithin<Value>(
+export function settleWithTimeout<Value>(
   clock: Clock,
   promise: Promise<Value>,
   milliseconds: number,
 ): Promise<TimedResult<Value>> {
   return new Promise((resolve) => {
     const timeout = Math.max(MINIMUM_TIMEOUT_MILLISECONDS, milliseconds);
-    const cancelTimeout = clock.after(timeout, () => resolve({ type: 'timeout' }));
+    const cancelTimeout = clock.runAfter(timeout, () => resolve({ type: 'timeout' }));
     promise.then(
       (value) => {
         cancelTimeout();
@@ -34,12 +34,12 @@
  *
  * @throws Error with which the promise is rejected before the timeout.
  */
-export async function resolveWithin<Value>(
+export async function resolveWithTimeout<Value>(
   clock: Clock,
   promise: Promise<Value>,
   milliseconds: number,
 ): Promise<Value | undefined> {
-  const settled = await settleWithin(clock, promise, milliseconds);
+  const settled = await settleWithTimeout(clock, promise, milliseconds);
   if (settled.type === 'error') throw settled.error;
   return settled.type === 'value' ? settled.value : undefined;
 }
--- a/packages/gateway/src/test/fixture.ts
+++ b/packages/gateway/src/test/fixture.ts
@@ -16,14 +16,20 @@
   return {
     instance: 'instance-1',
     dataCentre: 'zone-1',
-    times: { stopGrace: 6_000, missingGrace: 2_500, leavingBound: 7_000 },
+    times: {
+      stopGracePeriodMilliseconds: 6_000,
+      missingMemberRetentionMilliseconds: 2_500,
+      leavingGracePeriodMilliseconds: 7_000,
+    },
     clock: createProcessClock(),
     random: () => 0,
     logger: createTestLogger(),
     driver: { connect: () => Promise.reject(new Error('no member')), readReport: noop },
-    directory: { follow: ({ onChange }) => onChange([], { isFresh: true, newSince: undefined }) },
+    directory: {
+      subscribe: ({ onChange }) => onChange([], { isFresh: true, changedAfter: undefined }),
+    },
     configuration: {
-      follow: (onChange) =>
+      subscribe: (onChange) =>
         onChange({
           version: 3,
           routes: new Map(),
@@ -33,7 +39,7 @@
     },
     store: { read: async () => undefined, replace: async () => ({ type: 'unknown' }) },
     orders: { promote: async () => 'unknown' },
-    registry: { follow: noop, reportGone: noop },
+    registry: { registerInstance: noop, reportUnreachable: noop },
     transport: {
       open: () => ({ send: noop, close: noop }),
       listen: noop,
--- a/packages/gateway/src/test/leavingMember.test.ts
+++ b/packages/gateway/src/test/leavingMember.test.ts
@@ -35,7 +35,7 @@
 describe('a leaving member', () => {
   it('receives new statements until its grace period minus the transit reserve', async () => {
     gateway.updateMembers([availableEntry]);
-    gateway.updateMembers([leavingEntry], createProcessClock().readings());
+    gateway.updateMembers([leavingEntry], createProcessClock().readClocks());
     await vi.advanceTimersByTimeAsync(
       LEAVING_GRACE_PERIOD_MILLISECONDS - TRANSIT_RESERVE_MILLISECONDS - 50,
     );
@@ -129,10 +129,10 @@
   it('causes no promotion claim while no candidate exists', async () => {
     // Guards against repeated store calls for as long as the member is leaving.
     gateway.updateMembers([availableEntry]);
-    gateway.updateMembers([leavingEntry], createProcessClock().readings());
+    gateway.updateMembers([leavingEntry], createProcessClock().readClocks());
     await vi.advanceTimersByTimeAsync(5_000);
     expect(gateway.events.filter((event) => event === 'dutyClaimed')).toEqual([]);
-    gateway.updateMembers([leavingEntry, successorEntry], createProcessClock().readings());
+    gateway.updateMembers([leavingEntry, successorEntry], createProcessClock().readClocks());
     await vi.advanceTimersByTimeAsync(2_000);
     expect(gateway.events).toContain('dutyClaimed');
   });
@@ -154,7 +154,7 @@
   it('receives no statement after its grace period if the monotonic clock stops meanwhile', async () => {
     // Guards against a suspended machine, whose monotonic clock does not count the suspension.
     gateway.updateMembers([availableEntry]);
-    gateway.updateMembers([leavingEntry], createProcessClock().readings());
+    gateway.updateMembers([leavingEntry], createProcessClock().readClocks());
     vi.setSystemTime(Date.now() + LEAVING_GRACE_PERIOD_MILLISECONDS);
     gateway.openSession().read('after-suspension');
     await settle();
@@ -164,10 +164,10 @@
   it('keeps its first leaving time if its entry lapses and returns', async () => {
     // Guards against restarting the grace period whenever the entry returns.
     gateway.updateMembers([availableEntry]);
-    gateway.updateMembers([leavingEntry], createProcessClock().readings());
+    gateway.updateMembers([leavingEntry], createProcessClock().readClocks());
     await vi.advanceTimersByTimeAsync(LEAVING_GRACE_PERIOD_MILLISECONDS);
     gateway.updateMembers([]);
-    gateway.updateMembers([{ ...leavingEntry, revision: 4 }], createProcessClock().readings());
+    gateway.updateMembers([{ ...leavingEntry, revision: 4 }], createProcessClock().readClocks());
     gateway.openSession().read('after-return');
     await settle();
     expect(gateway.forwarded).toEqual([]);
--- a/packages/gateway/src/test/relayService.test.ts
+++ b/packages/gateway/src/test/relayService.test.ts
@@ -1,7 +1,7 @@
 import type { RelayRequest, RelayStatement } from '@wisterialift/peer/relay';
 import { describe, expect, it } from 'vitest';
 import { createActiveConfiguration } from '../lib/configuration/activeConfiguration';
-import type { GroupAccess, Transaction } from '../lib/groups/groupAccess';
+import type { StatementRunner, Transaction } from '../lib/groups/statementRunner';
 import { createProcessClock } from '../lib/ports/clock';
 import { createRelayService } from '../lib/relay/relayService';
 import { createTestLogger, noop } from './fixture';
@@ -60,8 +60,8 @@
       open -= 1;
     },
   };
-  const group: Partial<GroupAccess> = {
-    markArrival: () => ({ sequence: 1, at: clock.now() }),
+  const group: Partial<StatementRunner> = {
+    createArrivalStamp: () => ({ sequence: 1, at: clock.now() }),
     openTransaction: async () => {
       open += 1;
       await new Promise(setImmediate);
@@ -70,7 +70,7 @@
   };
   const service = createRelayService({
     configuration,
-    findGroup: () => group as GroupAccess,
+    findRunner: () => group as StatementRunner,
     refreshDirectory: () => new Promise(setImmediate),
     clock,
     logger,
--- a/packages/gateway/src/test/relayVersions.test.ts
+++ b/packages/gateway/src/test/relayVersions.test.ts
@@ -4,7 +4,7 @@
 import { createActiveConfiguration } from '../lib/configuration/activeConfiguration';
 import type { ActiveConfiguration } from '../lib/configuration/activeConfiguration';
 import type { GatewayConfiguration, Route } from '../lib/configuration/gatewayConfiguration';
-import type { GroupTask } from '../lib/groups/groupTask';
+import type { GroupRouter } from '../lib/groups/groupRouter';
 import type { StatementRequest } from '../lib/groups/statementRequest';
 import { createProcessClock } from '../lib/ports/clock';
 import type { RelayTransport } from '../lib/ports/instancePort';
@@ -38,15 +38,15 @@
 }
 
 /** Creates a group that completes every read and records its configuration version. */
-function createGroup(executedVersions: number[], onRun = noop): GroupTask {
-  const read = async ({ version }: StatementRequest): Promise<UpstreamAnswer> => {
-    executedVersions.push(version);
+function createGroup(executedVersions: number[], onRun = noop): GroupRouter {
+  const read = async ({ configurationVersion }: StatementRequest): Promise<UpstreamAnswer> => {
+    executedVersions.push(configurationVersion);
     onRun();
     return { outcome: 'completed', rows: [], signature: 's', transaction: 'idle' };
   };
   const counters = { probes: 0, retries: 0, refusals: 0, promotions: 0, relayed: 0 };
-  const markArrival = () => ({ sequence: 0, at: clock.now() });
-  return { read, markArrival, counters } as Partial<GroupTask> as GroupTask;
+  const createArrivalStamp = () => ({ sequence: 0, at: clock.now() });
+  return { read, createArrivalStamp, counters } as Partial<GroupRouter> as GroupRouter;
 }
 
 /** Creates a relaying instance and a holder with separate configurations. */
@@ -56,7 +56,7 @@
 ) {
   const executedVersions: number[] = [];
   const executionOrder: string[] = [];
-  let group: GroupTask | undefined = createGroup(executedVersions);
+  let group: GroupRouter | undefined = createGroup(executedVersions);
   const local = createGroup(executedVersions, () => executionOrder.push('executed'));
   let isLost = false;
   const relayConfiguration = createActiveConfiguration({ clock, onAdopted: noop });
@@ -65,7 +65,7 @@
   holderConfiguration.adopt(holderInitialConfiguration);
   const service = createRelayService({
     configuration: holderConfiguration,
-    findGroup: () => group,
+    findRunner: () => group,
     refreshDirectory: async () => undefined,
     clock,
     logger,
@@ -119,10 +119,18 @@
 
 function createRequest(activeConfiguration: ActiveConfiguration): StatementRequest {
   const { route, version } = activeConfiguration.findRoute('history')!;
-  const arrived = { sequence: 0, at: clock.now() };
+  const arrivalStamp = { sequence: 0, at: clock.now() };
   const session = { state: createSessionState(), lastCommit: undefined };
-  const deadlineAt = arrived.at + 2_000;
-  return { id: 'q1', text: 'READ lamp-1', session, route: route!, version, arrived, deadlineAt };
+  const deadlineAt = arrivalStamp.at + 2_000;
+  return {
+    id: 'q1',
+    text: 'READ lamp-1',
+    session,
+    route: route!,
+    configurationVersion: version,
+    arrivalStamp,
+    deadlineAt,
+  };
 }
 
 describe('two instances with different configuration versions', () => {
--- a/packages/gateway/src/test/startupConnections.test.ts
+++ b/packages/gateway/src/test/startupConnections.test.ts
@@ -24,10 +24,13 @@
         readReport: noop,
       },
       directory: {
-        follow: ({ onChange }) =>
-          onChange([createDirectoryEntry()], { isFresh: true, newSince: undefined }),
+        subscribe: ({ onChange }) =>
+          onChange([createDirectoryEntry()], { isFresh: true, changedAfter: undefined }),
+      },
+      registry: {
+        registerInstance: (onChange) => instanceList && onChange(instanceList),
+        reportUnreachable: noop,
       },
-      registry: { follow: (onChange) => instanceList && onChange(instanceList), reportGone: noop },
     }),
   );
   gateway.close();
--- a/packages/gateway/src/test/suspension.test.ts
+++ b/packages/gateway/src/test/suspension.test.ts
@@ -22,11 +22,11 @@
       clock: {
         ...createProcessClock(),
         now: () => 1_000,
-        readings: () => ({ steady: 1_000, wall: 1_000 + suspendedMilliseconds }),
+        readClocks: () => ({ monotonic: 1_000, wall: 1_000 + suspendedMilliseconds }),
       },
       logger: createTestLogger((event) => events.push(event)),
       configuration: {
-        follow: (onChange) =>
+        subscribe: (onChange) =>
           onChange({
             version: 3,
             routes: new Map(),
@@ -35,8 +35,9 @@
           }),
       },
       registry: {
-        follow: (onChange) => onChange(['instance-1', 'instance-2'].map(createInstanceEntry)),
-        reportGone: noop,
+        registerInstance: (onChange) =>
+          onChange(['instance-1', 'instance-2'].map(createInstanceEntry)),
+        reportUnreachable: noop,
       },
       transport: {
         open: () => ({ send: noop, close: noop }),
--- a/packages/gateway/src/test/testGateway.ts
+++ b/packages/gateway/src/test/testGateway.ts
@@ -1,6 +1,6 @@
 import type { UpstreamAnswer, UpstreamCommand } from '@wisterialift/pooling';
 import { createGateway, createProcessClock } from '../index';
-import type { CallerAnswer, DirectoryAge, DirectoryEntry, Route } from '../index';
+import type { CallerAnswer, DirectoryFreshness, DirectoryEntry, Route } from '../index';
 import { createTestOptions, createTestLogger, GROUP, noop } from './fixture';
 
 /** Database of the test sessions; its consistency is `primary`. */
@@ -45,7 +45,8 @@
 export function startTestGateway() {
   const forwarded: ForwardedStatement[] = [];
   const events: string[] = [];
-  let updateDirectory: ((entries: DirectoryEntry[], age: DirectoryAge) => void) | undefined;
+  let updateDirectory:
+    ((entries: DirectoryEntry[], freshness: DirectoryFreshness) => void) | undefined;
   let currentEntries: DirectoryEntry[] = [];
   let heldCommandType: UpstreamCommand['type'] | undefined;
   const heldAnswers: (() => void)[] = [];
@@ -99,12 +100,12 @@
         },
       },
       directory: {
-        follow: ({ onChange }) => {
+        subscribe: ({ onChange }) => {
           updateDirectory = onChange;
         },
       },
       configuration: {
-        follow: (onChange) =>
+        subscribe: (onChange) =>
           onChange({
             version: 1,
             routes: new Map([[DATABASE, route]]),
@@ -122,7 +123,7 @@
       accept: noop,
       refuse: noop,
       answer: (answer) => answers.push(answer),
-      end: noop,
+      close: noop,
     });
     caller.onStart(DATABASE);
     return {
@@ -140,10 +141,13 @@
     forwarded,
     events,
     openSession,
-    /** Publishes a directory snapshot; without `newSince`, the time of its changes is unknown. */
-    updateMembers: (entries: DirectoryEntry[], newSince?: DirectoryAge['newSince']) => {
+    /** Publishes a directory snapshot; without `changedAfter`, the time of its changes is unknown. */
+    updateMembers: (
+      entries: DirectoryEntry[],
+      changedAfter?: DirectoryFreshness['changedAfter'],
+    ) => {
       currentEntries = entries;
-      updateDirectory!(entries, { isFresh: true, newSince });
+      updateDirectory!(entries, { isFresh: true, changedAfter });
     },
     getForwardedIds: (memberId: string) =>
       forwarded.filter((statement) => statement.memberId === memberId).map(({ id }) => id),
--- a/packages/mysql/src/lib/control/groupControlConnection.ts
+++ b/packages/mysql/src/lib/control/groupControlConnection.ts
@@ -1,4 +1,4 @@
-import type { QuestionFailure } from '@wisterialift/core';
+import type { ControlRequestFailureReason } from '@wisterialift/core';
 import type { MemberStatus } from '@wisterialift/schema';
 import { commandCode } from '../protocol/constants';
 import {
@@ -19,7 +19,8 @@
 
 /** @public */
 export type ControlResponse =
-  { type: 'answered'; status: MemberStatus } | { type: 'failed'; reason: QuestionFailure };
+  | { type: 'answered'; status: MemberStatus }
+  | { type: 'failed'; reason: ControlRequestFailureReason };
 
 /** @public */
 export interface GroupControlConnectionOptions {
@@ -92,7 +93,7 @@
    * Fails all outstanding requests and closes the connection, since a late response could be
    * matched to a later request.
    */
-  function failAll(reason: QuestionFailure): void {
+  function failAll(reason: ControlRequestFailureReason): void {
     const failed = pending ? [pending, ...queue] : queue;
     const discarded = connection;
     connection = undefined;
--- a/packages/pooling/src/index.ts
+++ b/packages/pooling/src/index.ts
@@ -8,38 +8,50 @@
 } from './lib/statements/upstreamCommand';
 export { type PositionSample } from './lib/replication/positionHistory';
 export {
-  createGroupEvidence,
+  createReplicationTracker,
   type ConfirmationResult,
-  type EvidenceWait,
-  type GroupEvidence,
-  type Observation,
+  type ConfirmationWait,
+  type ReplicationTracker,
+  type MemberObservation,
 } from './lib/replication/replicationTracker';
 export {
-  applyPreparation,
-  countDifferences,
+  applyStateCommand,
+  countVariableCommands,
   createConnectionState,
   createSessionState,
-  planPreparation,
-  sharedStatementName,
+  planStateRestore,
+  getSharedStatementName,
   type ConnectionState,
   type PreparedStatement,
   type SessionState,
 } from './lib/session/sessionState';
-export { LONG_AGO, longestAge, type ClockReadings } from './lib/timing/clockReadings';
-export { remainingUse } from './lib/routing/remainingAdmissionTime';
-export { createReplicaLag, type ReplicaLag, type RequiredLog } from './lib/routing/replicaLag';
-export { comeBackTime } from './lib/routing/retryDelay';
-export { longestWait } from './lib/routing/queueWaitLimit';
+export {
+  DISTANT_PAST_READINGS,
+  computeAgeUpperBound,
+  type ClockReadings,
+} from './lib/timing/clockReadings';
+export { computeRemainingAdmissionTime } from './lib/routing/remainingAdmissionTime';
+export {
+  createLagEstimate,
+  type LagEstimate,
+  type RequiredPosition,
+} from './lib/routing/lagEstimate';
+export { computeRetryDelay } from './lib/routing/retryDelay';
+export { computeMaximumQueueWait } from './lib/routing/queueWaitLimit';
 export { chooseNextStatement, type QueuedStatement } from './lib/routing/chooseNextStatement';
 export { createLatencyEstimate, type LatencyEstimate } from './lib/routing/latencyEstimate';
 export {
-  planHolders,
-  type HolderCandidate,
-  type HolderPlan,
+  planConnectionHolders,
+  type ConnectionHolderCandidate,
+  type ConnectionHolderPlan,
 } from './lib/routing/connectionHolders';
 export { orderMembersForRead, type MemberLoad } from './lib/routing/orderMembersForRead';
-export { chooseCandidate, type StoppedReplica } from './lib/promotion/promotionCandidate';
-export { settleWrite, type TermOrigin, type WriteFate } from './lib/promotion/writeOutcome';
+export { choosePromotionCandidate, type PausedReplica } from './lib/promotion/promotionCandidate';
+export {
+  determineWriteOutcome,
+  type TermOrigin,
+  type WriteOutcome,
+} from './lib/promotion/writeOutcome';
 export {
   CLAIM_TAKEOVER_MILLISECONDS,
   CLAIM_VALID_MILLISECONDS,
--- a/packages/pooling/src/lib/promotion/promotionCandidate.ts
+++ b/packages/pooling/src/lib/promotion/promotionCandidate.ts
@@ -2,7 +2,7 @@
 import type { Position } from '@wisterialift/schema';
 
 /** A replica that was paused for a promotion and then reported its log end. @public */
-export interface StoppedReplica {
+export interface PausedReplica {
   memberId: string;
   received: Position;
   isLeaving: boolean;
@@ -19,7 +19,7 @@
  * @returns undefined if no replica can be promoted now.
  * @public
  */
-export function chooseCandidate(replicas: StoppedReplica[]): StoppedReplica | undefined {
+export function choosePromotionCandidate(replicas: PausedReplica[]): PausedReplica | undefined {
   const mostAdvanced = findMostAdvanced(replicas);
   if (!mostAdvanced) return undefined;
   const eligible = replicas.filter(
@@ -29,6 +29,6 @@
   return eligible.find(({ isPreferred }) => isPreferred) ?? eligible[0];
 }
 
-function findMostAdvanced(replicas: StoppedReplica[]): StoppedReplica | undefined {
+function findMostAdvanced(replicas: PausedReplica[]): PausedReplica | undefined {
   return [...replicas].sort((left, right) => comparePositions(right.received, left.received))[0];
 }
--- a/packages/pooling/src/lib/promotion/promotionClaim.ts
+++ b/packages/pooling/src/lib/promotion/promotionClaim.ts
@@ -53,7 +53,7 @@
  * @public
  */
 export function isClaimValid(claimed: ClockReadings, now: ClockReadings): boolean {
-  const elapsed = now.steady - claimed.steady;
+  const elapsed = now.monotonic - claimed.monotonic;
   const clockDivergence = Math.abs(now.wall - claimed.wall - elapsed);
   return elapsed < CLAIM_VALID_MILLISECONDS && clockDivergence < SUSPENSION_THRESHOLD_MILLISECONDS;
 }
--- a/packages/pooling/src/lib/promotion/writeOutcome.ts
+++ b/packages/pooling/src/lib/promotion/writeOutcome.ts
@@ -7,7 +7,7 @@
 }
 
 /** Outcome of a write that was in progress when its primary was replaced. @public */
-export type WriteFate = 'kept' | 'discarded' | 'unknown';
+export type WriteOutcome = 'kept' | 'discarded' | 'unknown';
 
 /**
  * Determines the outcome of a write from the log end that the next term started from.
@@ -17,7 +17,10 @@
  *
  * @public
  */
-export function settleWrite(position: Position, termOrigin: TermOrigin | undefined): WriteFate {
+export function determineWriteOutcome(
+  position: Position,
+  termOrigin: TermOrigin | undefined,
+): WriteOutcome {
   if (!termOrigin || termOrigin.term !== position.term + 1) return 'unknown';
   if (termOrigin.origin.term !== position.term) return 'unknown';
   return position.index <= termOrigin.origin.index ? 'kept' : 'discarded';
--- a/packages/pooling/src/lib/replication/positionHistory.ts
+++ b/packages/pooling/src/lib/replication/positionHistory.ts
@@ -3,7 +3,7 @@
 /** The end of the primary's log, and when it was requested. */
 export interface PositionSample {
   /** When the request was sent, in milliseconds of the monotonic clock. */
-  askedAt: number;
+  requestedAt: number;
   term: number;
   position: Position;
 }
@@ -31,18 +31,18 @@
   let samples: PositionSample[] = [];
 
   return {
-    add: ({ askedAt, term, position }) => {
+    add: ({ requestedAt, term, position }) => {
       const last = samples.at(-1);
       if (last && last.term > term) return;
-      if (last?.term === term && askedAt < last.askedAt + SAMPLE_GAP_MILLISECONDS) return;
+      if (last?.term === term && requestedAt < last.requestedAt + SAMPLE_GAP_MILLISECONDS) return;
       if (last && last.term < term) samples = [];
-      samples.push({ askedAt, term, position });
+      samples.push({ requestedAt, term, position });
       if (samples.length > MAXIMUM_SAMPLES) samples.shift();
     },
     findOldest: ({ since, term }) =>
-      samples.find((sample) => sample.askedAt >= since && sample.term === term),
+      samples.find((sample) => sample.requestedAt >= since && sample.term === term),
     findTimeObservedBeyond: ({ term, index }) =>
-      samples.find((sample) => sample.term === term && sample.position.index > index)?.askedAt,
+      samples.find((sample) => sample.term === term && sample.position.index > index)?.requestedAt,
     clear: () => {
       samples = [];
     },
--- a/packages/pooling/src/lib/replication/replicationTracker.ts
+++ b/packages/pooling/src/lib/replication/replicationTracker.ts
@@ -4,12 +4,12 @@
 import type { PositionSample } from './positionHistory';
 
 /** Term, log positions and role that a member reported in one answer. @public */
-export interface Observation {
+export interface MemberObservation {
   memberId: string;
-  /** Sequence number of the request, from `nextSequence`. */
-  askedSequence: number;
+  /** Sequence number of the request, from `takeNextSequenceNumber`. */
+  requestSequenceNumber: number;
   /** When the request was sent, in milliseconds of the monotonic clock. */
-  askedAt: number;
+  requestedAt: number;
   term: number;
   /** End of the log that the member has received; may be of a term lower than `term`. */
   position: Position;
@@ -26,29 +26,30 @@
   | { type: 'superseded'; term: number };
 
 /** A pending confirmation, resolved by the first observation that decides it. @public */
-export interface EvidenceWait {
-  verdict: Promise<ConfirmationResult>;
+export interface ConfirmationWait {
+  result: Promise<ConfirmationResult>;
   cancel: () => void;
 }
 
 /** Replication state of a group, as observed from its members' answers. @public */
-export interface GroupEvidence {
+export interface ReplicationTracker {
   /** Returns the next sequence number; requests sent later have higher numbers. */
-  nextSequence: () => number;
-  observe: (observation: Observation) => void;
+  takeNextSequenceNumber: () => number;
+  observe: (observation: MemberObservation) => void;
   /**
    * Waits until a replica has received `position`, and it and all other replicas except at most one
    * have applied an entry of its term.
    *
    * The first condition makes the commit survive a promotion, which pauses all replicas and starts
-   * the next term from their highest log end. The second lets `waitForTerm` rely on one replica.
+   * the next term from their highest log end. The second lets
+   * `waitForTermConfirmation` rely on one replica.
    */
-  waitForCopy: (options: {
+  waitForReplication: (options: {
     position: Position;
     primaryId: string;
     /** Current members of the group, including the primary. */
     memberIds: () => string[];
-  }) => EvidenceWait;
+  }) => ConfirmationWait;
   /**
    * Waits until a replica answers in `term` to a request sent after `sequence`, which shows that
    * what the primary read is current.
@@ -58,7 +59,11 @@
    * members, so no such commit preceded the read. Only applied entries count, since reads show no
    * others.
    */
-  waitForTerm: (options: { term: number; sequence: number; primaryId: string }) => EvidenceWait;
+  waitForTermConfirmation: (options: {
+    term: number;
+    sequence: number;
+    primaryId: string;
+  }) => ConfirmationWait;
   /**
    * Minimum position for a read that accepts data up to `maximumAge` ms old: the oldest sample of
    * the highest term that was requested within that time, or undefined.
@@ -68,31 +73,31 @@
    * Request time of the oldest retained sample of the same term with a higher index, in milliseconds
    * of the monotonic clock, or undefined.
    */
-  timeBeyond: (position: Position) => number | undefined;
-  /** Adds a position that covers everything acknowledged before `askedAt`. */
-  addFloor: (floor: { askedAt: number; position: Position }) => void;
+  findTimeObservedBeyond: (position: Position) => number | undefined;
+  /** Adds a position that covers everything acknowledged before `requestedAt`. */
+  addFloor: (floor: { requestedAt: number; position: Position }) => void;
   /** Highest term that any member was seen in. */
-  highestTerm: () => number;
-  lastSeen: (memberId: string) => Observation | undefined;
+  getHighestTerm: () => number;
+  getLatestObservation: (memberId: string) => MemberObservation | undefined;
   hasPendingWaits: () => boolean;
   /** Discards the observations of a member that left the group. */
-  forgetMember: (memberId: string) => void;
+  removeMember: (memberId: string) => void;
   /**
    * Discards the observations of a restarted member and accepts none for confirmation that were
-   * requested before `trustedFrom`, in milliseconds of the monotonic clock.
+   * requested before `validFrom`, in milliseconds of the monotonic clock.
    *
    * A promotion may have read the member's log before the restart and would miss a commit that the
-   * member confirms afterwards. By `trustedFrom` every such promotion has ended.
+   * member confirms afterwards. By `validFrom` every such promotion has ended.
    */
-  restartMember: (memberId: string, options: { trustedFrom: number }) => void;
+  discardObservationsBefore: (memberId: string, options: { validFrom: number }) => void;
   /** Clears the samples of the primary's log; their ages are unknown after a suspension. */
-  forgetAges: () => void;
+  clearPositionSamples: () => void;
 }
 
 interface PendingWait {
   /** Returns the result if the observations so far decide it. */
   evaluate: () => ConfirmationResult | undefined;
-  resolve: (verdict: ConfirmationResult) => void;
+  resolve: (result: ConfirmationResult) => void;
 }
 
 /**
@@ -102,9 +107,9 @@
  *
  * @public
  */
-export function createGroupEvidence(): GroupEvidence {
+export function createReplicationTracker(): ReplicationTracker {
   const positionHistory = createPositionHistory();
-  const latestObservations = new Map<string, Observation>();
+  const latestObservations = new Map<string, MemberObservation>();
   const receivedPositions = new Map<string, Position>();
   const appliedTerms = new Map<string, number>();
   const validFrom = new Map<string, number>();
@@ -112,9 +117,9 @@
   let sequence = 0;
   let highestTerm = 0;
 
-  const startWait = (evaluate: PendingWait['evaluate']): EvidenceWait => {
+  const startWait = (evaluate: PendingWait['evaluate']): ConfirmationWait => {
     let wait: PendingWait | undefined;
-    const verdict = new Promise<ConfirmationResult>((resolve) => {
+    const result = new Promise<ConfirmationResult>((resolve) => {
       const decided = evaluate();
       if (decided) {
         resolve(decided);
@@ -123,15 +128,15 @@
       wait = { evaluate, resolve };
       waits.add(wait);
     });
-    return { verdict, cancel: () => wait && waits.delete(wait) };
+    return { result, cancel: () => wait && waits.delete(wait) };
   };
 
   const resolveDecidedWaits = () => {
     for (const wait of waits) {
-      const verdict = wait.evaluate();
-      if (verdict) {
+      const result = wait.evaluate();
+      if (result) {
         waits.delete(wait);
-        wait.resolve(verdict);
+        wait.resolve(result);
       }
     }
   };
@@ -140,13 +145,13 @@
    * Keeps the highest position, since logs are never truncated within a term. Ignores log ends of
    * earlier terms, which may still be truncated.
    */
-  const recordReceivedPosition = ({ memberId, term, position }: Observation) => {
+  const recordReceivedPosition = ({ memberId, term, position }: MemberObservation) => {
     const known = receivedPositions.get(memberId);
     const isHigher = known === undefined || comparePositions(position, known) > 0;
     if (term === position.term && isHigher) receivedPositions.set(memberId, position);
   };
 
-  const recordAppliedTerm = ({ memberId, applied }: Observation) => {
+  const recordAppliedTerm = ({ memberId, applied }: MemberObservation) => {
     const known = appliedTerms.get(memberId) ?? -Infinity;
     appliedTerms.set(memberId, Math.max(known, applied.term));
   };
@@ -154,14 +159,14 @@
   const hasAppliedTerm = (memberId: string, term: number) =>
     (appliedTerms.get(memberId) ?? -Infinity) >= term;
 
-  const forgetMember = (memberId: string) => {
+  const removeMember = (memberId: string) => {
     latestObservations.delete(memberId);
     receivedPositions.delete(memberId);
     appliedTerms.delete(memberId);
   };
 
-  const isObservationValid = ({ memberId, askedAt }: Observation) =>
-    askedAt >= (validFrom.get(memberId) ?? -Infinity);
+  const isObservationValid = ({ memberId, requestedAt }: MemberObservation) =>
+    requestedAt >= (validFrom.get(memberId) ?? -Infinity);
 
   const hasReceived = (memberId: string, { term, index }: Position) => {
     const known = receivedPositions.get(memberId);
@@ -172,7 +177,7 @@
     highestTerm > term ? { type: 'superseded', term: highestTerm } : undefined;
 
   return {
-    nextSequence: () => {
+    takeNextSequenceNumber: () => {
       sequence += 1;
       return sequence;
     },
@@ -189,7 +194,7 @@
       if (observation.isPrimary) positionHistory.add(observation);
       resolveDecidedWaits();
     },
-    waitForCopy: ({ position, primaryId, memberIds }) =>
+    waitForReplication: ({ position, primaryId, memberIds }) =>
       startWait(() => {
         const superseded = getSupersededResult(position.term);
         if (superseded) return superseded;
@@ -201,7 +206,7 @@
         const isReplicated = membersInTerm.some((memberId) => hasReceived(memberId, position));
         return isReplicated ? { type: 'proved' } : undefined;
       }),
-    waitForTerm: ({ term, sequence: readSequence, primaryId }) =>
+    waitForTermConfirmation: ({ term, sequence: readSequence, primaryId }) =>
       startWait(() => {
         const superseded = getSupersededResult(term);
         if (superseded) return superseded;
@@ -210,31 +215,31 @@
             observation.memberId !== primaryId &&
             !observation.isPrimary &&
             observation.term === term &&
-            observation.askedSequence > readSequence,
+            observation.requestSequenceNumber > readSequence,
         );
         return isConfirmed ? { type: 'proved' } : undefined;
       }),
     findFloor: ({ now, maximumAge }) =>
       positionHistory.findOldest({ since: now - maximumAge, term: highestTerm }),
-    addFloor: ({ askedAt, position }) => {
+    addFloor: ({ requestedAt, position }) => {
       highestTerm = Math.max(highestTerm, position.term);
-      positionHistory.add({ askedAt, term: position.term, position });
+      positionHistory.add({ requestedAt, term: position.term, position });
     },
-    timeBeyond: positionHistory.findTimeObservedBeyond,
-    highestTerm: () => highestTerm,
-    lastSeen: (memberId) => latestObservations.get(memberId),
-    forgetMember,
-    restartMember: (memberId, options) => {
-      forgetMember(memberId);
-      validFrom.set(memberId, options.trustedFrom);
+    findTimeObservedBeyond: positionHistory.findTimeObservedBeyond,
+    getHighestTerm: () => highestTerm,
+    getLatestObservation: (memberId) => latestObservations.get(memberId),
+    removeMember,
+    discardObservationsBefore: (memberId, options) => {
+      removeMember(memberId);
+      validFrom.set(memberId, options.validFrom);
     },
     hasPendingWaits: () => waits.size > 0,
-    forgetAges: () => positionHistory.clear(),
+    clearPositionSamples: () => positionHistory.clear(),
   };
 }
 
 /** Answers on different connections may arrive out of order. */
-function isNewer(observation: Observation, previous: Observation): boolean {
+function isNewer(observation: MemberObservation, previous: MemberObservation): boolean {
   if (observation.term !== previous.term) return observation.term > previous.term;
-  return observation.askedSequence >= previous.askedSequence;
+  return observation.requestSequenceNumber >= previous.requestSequenceNumber;
 }
--- a/packages/pooling/src/lib/routing/connectionHolders.ts
+++ b/packages/pooling/src/lib/routing/connectionHolders.ts
@@ -1,7 +1,7 @@
 import { orderByRendezvous } from '@wisterialift/core';
 
 /** An instance that can hold connections on behalf of others. @public */
-export interface HolderCandidate {
+export interface ConnectionHolderCandidate {
   instance: string;
   dataCentre: string;
   /** Processor capacity relative to the other instances. */
@@ -9,7 +9,7 @@
 }
 
 /** Which instances hold connections to the members of a group. @public */
-export type HolderPlan =
+export type ConnectionHolderPlan =
   /** Every instance connects for its own callers. */
   | { type: 'everyone' }
   /** Connections are held by a few instances, which serve the callers of all. */
@@ -46,12 +46,12 @@
  *
  * @public
  */
-export function planHolders(options: {
+export function planConnectionHolders(options: {
   group: string;
-  candidates: readonly HolderCandidate[];
+  candidates: readonly ConnectionHolderCandidate[];
   dataCentre: string;
   maximumConnections: number;
-}): HolderPlan {
+}): ConnectionHolderPlan {
   const { group, candidates, dataCentre, maximumConnections } = options;
   if (maximumConnections >= candidates.length * MINIMUM_CONNECTIONS) return { type: 'everyone' };
   const ranked = rankInstancesByDataCentre(group, candidates);
@@ -69,7 +69,7 @@
 /** Instances of each data centre, in the order in which they become holders of the group. */
 function rankInstancesByDataCentre(
   group: string,
-  candidates: readonly HolderCandidate[],
+  candidates: readonly ConnectionHolderCandidate[],
 ): Map<string, string[]> {
   const weights = new Map(candidates.map(({ instance, weight }) => [instance, weight]));
   const dataCentres = [...new Set(candidates.map((candidate) => candidate.dataCentre))].sort();
@@ -81,7 +81,7 @@
         names: candidates
           .filter((candidate) => candidate.dataCentre === dataCentre)
           .map(({ instance }) => instance),
-        weightOf: (instance) => weights.get(instance) ?? 1,
+        getWeight: (instance) => weights.get(instance) ?? 1,
       }),
     ]),
   );
--- a/packages/pooling/src/lib/routing/replicaLag.ts
+++ b/packages/pooling/src/lib/routing/lagEstimate.ts
@@ -2,27 +2,27 @@
 import type { Position } from '@wisterialift/schema';
 
 /** Position that a read requires, and when the primary was observed there. @public */
-export interface RequiredLog {
+export interface RequiredPosition {
   position: Position;
   /** Milliseconds of the monotonic clock. */
   seenAt: number;
 }
 
 /** Estimated replication lag of one replica. @public */
-export interface ReplicaLag {
+export interface LagEstimate {
   /** Records an applied position and its lag behind the primary, in milliseconds. */
   observe: (observation: { applied: Position; lag: number; now: number }) => void;
   /**
    * Milliseconds until the replica is expected to have applied `required`; 0 if it has applied it
    * or was never observed.
    */
-  timeUntilApplied: (required: RequiredLog | undefined, now: number) => number;
+  estimateTimeUntilApplied: (required: RequiredPosition | undefined, now: number) => number;
   /** Whether the estimate has expired and no probe is in flight. */
-  mayBeTried: (now: number) => boolean;
-  beginTrial: () => void;
-  endTrial: () => void;
+  canTryRead: (now: number) => boolean;
+  beginTrialRead: () => void;
+  endTrialRead: () => void;
   /** Last observed lag and its age in milliseconds, for log output. */
-  describe: (now: number) => { lag: number; age: number | undefined };
+  getLastObservation: (now: number) => { lag: number; age: number | undefined };
 }
 
 /** Time after which a lag estimate expires, in milliseconds. */
@@ -36,29 +36,34 @@
  *
  * @public
  */
-export function createReplicaLag(): ReplicaLag {
+export function createLagEstimate(): LagEstimate {
   let applied: Position | undefined;
   let lag = 0;
-  let seenAt: number | undefined;
+  let observedAt: number | undefined;
   let isProbeInFlight = false;
 
   return {
     observe: (observation) => {
       ({ applied, lag } = observation);
-      seenAt = observation.now;
+      observedAt = observation.now;
     },
-    timeUntilApplied: (required, now) => {
+    estimateTimeUntilApplied: (required, now) => {
       if (!required || !applied || isAtMost(required.position, applied)) return 0;
       return Math.max(0, required.seenAt + lag - now);
     },
-    mayBeTried: (now) =>
-      !isProbeInFlight && seenAt !== undefined && now - seenAt > ESTIMATE_VALID_MILLISECONDS,
-    beginTrial: () => {
+    canTryRead: (now) =>
+      !isProbeInFlight &&
+      observedAt !== undefined &&
+      now - observedAt > ESTIMATE_VALID_MILLISECONDS,
+    beginTrialRead: () => {
       isProbeInFlight = true;
     },
-    endTrial: () => {
+    endTrialRead: () => {
       isProbeInFlight = false;
     },
-    describe: (now) => ({ lag, age: seenAt === undefined ? undefined : now - seenAt }),
+    getLastObservation: (now) => ({
+      lag,
+      age: observedAt === undefined ? undefined : now - observedAt,
+    }),
   };
 }
--- a/packages/pooling/src/lib/routing/latencyEstimate.ts
+++ b/packages/pooling/src/lib/routing/latencyEstimate.ts
@@ -2,7 +2,7 @@
 export interface LatencyEstimate {
   record: (milliseconds: number, now: number) => void;
   /** Expected latency of an answer, in milliseconds. */
-  current: (now: number) => number;
+  getCurrent: (now: number) => number;
 }
 
 /** Weight of a new sample in the moving average. */
@@ -19,7 +19,7 @@
   let average = initial;
   let recordedAt: number | undefined;
 
-  const current = (now: number) => {
+  const getCurrent = (now: number) => {
     if (recordedAt === undefined || average <= initial) return average;
     const remainingFraction = 0.5 ** ((now - recordedAt) / DECAY_HALF_LIFE_MILLISECONDS);
     return initial + (average - initial) * remainingFraction;
@@ -27,9 +27,9 @@
 
   return {
     record: (milliseconds, now) => {
-      average = current(now) + SMOOTHING_FACTOR * (milliseconds - current(now));
+      average = getCurrent(now) + SMOOTHING_FACTOR * (milliseconds - getCurrent(now));
       recordedAt = now;
     },
-    current,
+    getCurrent,
   };
 }
--- a/packages/pooling/src/lib/routing/orderMembersForRead.ts
+++ b/packages/pooling/src/lib/routing/orderMembersForRead.ts
@@ -12,7 +12,7 @@
   /** Milliseconds until the member has applied the position that the read requires. */
   wait: number;
   /** Whether some statements can run only on this member, such as writes on the primary. */
-  isReserved: boolean;
+  hasExclusiveStatements: boolean;
 }
 
 /**
@@ -42,8 +42,8 @@
  * Capacity limits the estimate: an instance with one connection runs its statements one at a time.
  */
 function estimateAnswerTime(member: MemberLoad): number {
-  const { latency, load, capacity, delay, wait, isReserved } = member;
+  const { latency, load, capacity, delay, wait, hasExclusiveStatements } = member;
   const latenciesInQueue = load / Math.max(1, Math.min(ASSUMED_PARALLEL_STATEMENTS, capacity));
   const time = latency * (1 + latenciesInQueue) + delay + wait;
-  return isReserved ? time * EXCLUSIVE_MEMBER_TIME_FACTOR : time;
+  return hasExclusiveStatements ? time * EXCLUSIVE_MEMBER_TIME_FACTOR : time;
 }
--- a/packages/pooling/src/lib/routing/queueWaitLimit.ts
+++ b/packages/pooling/src/lib/routing/queueWaitLimit.ts
@@ -12,19 +12,19 @@
  *
  * @public
  */
-export function longestWait({
-  goal,
+export function computeMaximumQueueWait({
+  latencyGoal,
   timeLeft,
-  queuedFor,
+  timeSinceEmpty,
 }: {
   /** Latency goal of the route, in milliseconds. */
-  goal: number;
+  latencyGoal: number;
   /** Milliseconds until the caller stops waiting for the answer. */
   timeLeft: number;
   /** Milliseconds since the queue was last empty. */
-  queuedFor: number;
+  timeSinceEmpty: number;
 }): number {
-  return queuedFor < MAXIMUM_BURST_MILLISECONDS
+  return timeSinceEmpty < MAXIMUM_BURST_MILLISECONDS
     ? timeLeft
-    : Math.min(timeLeft, goal * OVERLOAD_WAIT_FRACTION);
+    : Math.min(timeLeft, latencyGoal * OVERLOAD_WAIT_FRACTION);
 }
--- a/packages/pooling/src/lib/routing/remainingAdmissionTime.ts
+++ b/packages/pooling/src/lib/routing/remainingAdmissionTime.ts
@@ -1,4 +1,4 @@
-import { longestAge } from '../timing/clockReadings';
+import { computeAgeUpperBound } from '../timing/clockReadings';
 import type { ClockReadings } from '../timing/clockReadings';
 
 /** Covers delivery of a statement to the member, including one retransmission. */
@@ -9,17 +9,17 @@
  * may not.
  *
  * @param options.leavingSince - clock readings taken no later than when the member started leaving.
- * @param options.bound - milliseconds after which no new statement may reach a leaving member.
+ * @param options.admissionPeriod - milliseconds after which no new statement may reach a leaving member.
  * @public
  */
-export function remainingUse({
+export function computeRemainingAdmissionTime({
   leavingSince,
-  bound,
-  present,
+  admissionPeriod,
+  now,
 }: {
   leavingSince: ClockReadings;
-  bound: number;
-  present: ClockReadings;
+  admissionPeriod: number;
+  now: ClockReadings;
 }): number {
-  return bound - DELIVERY_MARGIN_MILLISECONDS - longestAge(leavingSince, present);
+  return admissionPeriod - DELIVERY_MARGIN_MILLISECONDS - computeAgeUpperBound(leavingSince, now);
 }
--- a/packages/pooling/src/lib/routing/retryDelay.ts
+++ b/packages/pooling/src/lib/routing/retryDelay.ts
@@ -15,18 +15,18 @@
  *
  * @public
  */
-export function comeBackTime({
+export function computeRetryDelay({
   expectedWait = DEFAULT_EXPECTED_WAIT_MILLISECONDS,
-  spread,
+  jitter,
 }: {
   /** Milliseconds until a statement that arrived now would run; undefined if not known. */
   expectedWait?: number;
   /** Random number in [0, 1), drawn for each caller. */
-  spread: number;
+  jitter: number;
 }): number {
   const baseDelay = Math.min(
     MAXIMUM_BASE_DELAY_MILLISECONDS,
     Math.max(MINIMUM_RETRY_DELAY_MILLISECONDS, expectedWait),
   );
-  return Math.round(baseDelay * (1 + JITTER_FRACTION * spread));
+  return Math.round(baseDelay * (1 + JITTER_FRACTION * jitter));
 }
--- a/packages/pooling/src/lib/session/sessionState.ts
+++ b/packages/pooling/src/lib/session/sessionState.ts
@@ -15,14 +15,14 @@
  */
 export interface SessionState {
   values: Map<string, string>;
-  prepared: Map<string, PreparedStatement>;
+  preparedStatements: Map<string, PreparedStatement>;
 }
 
 /** Variables and prepared statements that are set on one connection. @public */
 export interface ConnectionState {
   values: Map<string, string>;
   /** Names of the statements prepared on the connection. */
-  prepared: Set<string>;
+  preparedNames: Set<string>;
 }
 
 /** A connection with more prepared statements is reset, to bound the memory of the database. */
@@ -30,16 +30,16 @@
 
 /** @public */
 export function createSessionState(): SessionState {
-  return { values: new Map(), prepared: new Map() };
+  return { values: new Map(), preparedStatements: new Map() };
 }
 
 /** @public */
 export function createConnectionState(): ConnectionState {
-  return { values: new Map(), prepared: new Set() };
+  return { values: new Map(), preparedNames: new Set() };
 }
 
 /** Name of a prepared statement on a connection; shared by all sessions that use it. @public */
-export function sharedStatementName({ access, shape }: PreparedStatement): string {
+export function getSharedStatementName({ access, shape }: PreparedStatement): string {
   return `${access === 'read' ? 'r' : 'w'}_${shape}`;
 }
 
@@ -50,33 +50,34 @@
  *
  * @public
  */
-export function planPreparation(options: {
+export function planStateRestore(options: {
   session: SessionState;
   connection: ConnectionState;
   statement?: PreparedStatement;
 }): UpstreamCommand[] {
   const { session, connection, statement } = options;
   const isResetRequired =
-    hasExtraVariable(session, connection) || connection.prepared.size > MAXIMUM_PREPARED_STATEMENTS;
+    hasExtraVariable(session, connection) ||
+    connection.preparedNames.size > MAXIMUM_PREPARED_STATEMENTS;
   const startingState = isResetRequired ? createConnectionState() : connection;
   const commands: UpstreamCommand[] = isResetRequired ? [{ type: 'reset' }] : [];
   for (const [name, value] of session.values) {
     if (startingState.values.get(name) !== value) commands.push({ type: 'set', name, value });
   }
-  if (statement && !startingState.prepared.has(sharedStatementName(statement))) {
-    commands.push({ type: 'prepare', name: sharedStatementName(statement), ...statement });
+  if (statement && !startingState.preparedNames.has(getSharedStatementName(statement))) {
+    commands.push({ type: 'prepare', name: getSharedStatementName(statement), ...statement });
   }
   return commands;
 }
 
-/** Applies a completed command of `planPreparation` to the recorded connection state. @public */
-export function applyPreparation(connection: ConnectionState, command: UpstreamCommand): void {
+/** Applies a completed command of `planStateRestore` to the recorded connection state. @public */
+export function applyStateCommand(connection: ConnectionState, command: UpstreamCommand): void {
   if (command.type === 'reset') {
     connection.values.clear();
-    connection.prepared.clear();
+    connection.preparedNames.clear();
   }
   if (command.type === 'set') connection.values.set(command.name, command.value);
-  if (command.type === 'prepare') connection.prepared.add(command.name);
+  if (command.type === 'prepare') connection.preparedNames.add(command.name);
 }
 
 /**
@@ -86,7 +87,7 @@
  *
  * @public
  */
-export function countDifferences(session: SessionState, connection: ConnectionState): number {
+export function countVariableCommands(session: SessionState, connection: ConnectionState): number {
   let commandCount = hasExtraVariable(session, connection) ? 1 + session.values.size : 0;
   if (commandCount > 0) return commandCount;
   for (const [name, value] of session.values) {
--- a/packages/pooling/src/test/connectionHolders.test.ts
+++ b/packages/pooling/src/test/connectionHolders.test.ts
@@ -1,11 +1,11 @@
 import { describe, expect, it } from 'vitest';
-import { planHolders } from '../index';
-import type { HolderCandidate, HolderPlan } from '../index';
+import { planConnectionHolders } from '../index';
+import type { ConnectionHolderCandidate, ConnectionHolderPlan } from '../index';
 
 const DATA_CENTRES = ['north', 'south', 'west'];
 
 /** `count` instances in each of three data centres, the first one of each four times as large. */
-function createCandidates(count: number): HolderCandidate[] {
+function createCandidates(count: number): ConnectionHolderCandidate[] {
   return DATA_CENTRES.flatMap((dataCentre) =>
     Array.from({ length: count }, (_, index) => ({
       instance: `${dataCentre}-${index}`,
@@ -20,9 +20,9 @@
   maximumConnections: number;
   dataCentre?: string;
   group?: string;
-}): HolderPlan {
+}): ConnectionHolderPlan {
   const { count, maximumConnections, dataCentre = 'north', group = 'group-1' } = options;
-  return planHolders({
+  return planConnectionHolders({
     group,
     candidates: createCandidates(count),
     dataCentre,
@@ -30,7 +30,7 @@
   });
 }
 
-function getNearHolders(holderPlan: HolderPlan): string[] {
+function getNearHolders(holderPlan: ConnectionHolderPlan): string[] {
   return holderPlan.type === 'everyone' ? [] : holderPlan.near.slice(0, holderPlan.nearCount);
 }
 
--- a/packages/pooling/src/test/decisions.test.ts
+++ b/packages/pooling/src/test/decisions.test.ts
@@ -1,15 +1,15 @@
 import { describe, expect, it } from 'vitest';
 import {
   CLAIM_VALID_MILLISECONDS,
-  applyPreparation,
-  chooseCandidate,
+  applyStateCommand,
+  choosePromotionCandidate,
   createConnectionState,
   createLatencyEstimate,
   createSessionState,
   isClaimValid,
   orderMembersForRead,
-  planPreparation,
-  settleWrite,
+  planStateRestore,
+  determineWriteOutcome,
 } from '../index';
 import type { PreparedStatement } from '../index';
 
@@ -24,8 +24,8 @@
     const connection = createConnectionState();
     Object.entries(sessionVariables).forEach((entry) => session.values.set(...entry));
     Object.entries(connectionVariables).forEach((entry) => connection.values.set(...entry));
-    connection.prepared.add('r_q1');
-    return planPreparation({ session, connection, statement });
+    connection.preparedNames.add('r_q1');
+    return planStateRestore({ session, connection, statement });
   }
 
   it('takes the fewest commands', () => {
@@ -41,8 +41,8 @@
     const connection = createConnectionState();
     session.values.set('a', '1');
     const request = { session, connection, statement };
-    for (const command of planPreparation(request)) applyPreparation(connection, command);
-    expect(planPreparation(request)).toEqual([]);
+    for (const command of planStateRestore(request)) applyStateCommand(connection, command);
+    expect(planStateRestore(request)).toEqual([]);
   });
 });
 
@@ -68,7 +68,7 @@
       'c',
     ],
   ])('chooses %s', (_, replicas, expected) => {
-    expect(chooseCandidate(replicas)?.memberId).toBe(expected);
+    expect(choosePromotionCandidate(replicas)?.memberId).toBe(expected);
   });
 });
 
@@ -89,9 +89,11 @@
   it('is not promoted, and neither is a replica that is behind it', () => {
     // Guards against promoting a leaving replica, or a replica that lacks a write that the leaving one
     // confirmed.
-    expect(chooseCandidate([leaving])).toBeUndefined();
-    expect(chooseCandidate([leaving, staying])).toBeUndefined();
-    expect(chooseCandidate([{ ...leaving, received: staying.received }, staying])).toBe(staying);
+    expect(choosePromotionCandidate([leaving])).toBeUndefined();
+    expect(choosePromotionCandidate([leaving, staying])).toBeUndefined();
+    expect(choosePromotionCandidate([{ ...leaving, received: staying.received }, staying])).toBe(
+      staying,
+    );
   });
 });
 
@@ -114,23 +116,23 @@
       'unknown',
     ],
   ])('%s', (_, position, origin, outcome) => {
-    expect(settleWrite(position, origin)).toBe(outcome);
+    expect(determineWriteOutcome(position, origin)).toBe(outcome);
   });
 });
 
 describe('the validity of a promotion claim', () => {
-  const claimed = { steady: 1_000, wall: 900_000 };
+  const claimed = { monotonic: 1_000, wall: 900_000 };
 
   it('ends when the claim expires', () => {
     const late = CLAIM_VALID_MILLISECONDS;
-    expect(isClaimValid(claimed, { steady: 1_200, wall: 900_200 })).toBe(true);
-    expect(isClaimValid(claimed, { steady: 1_000 + late, wall: 900_000 + late })).toBe(false);
+    expect(isClaimValid(claimed, { monotonic: 1_200, wall: 900_200 })).toBe(true);
+    expect(isClaimValid(claimed, { monotonic: 1_000 + late, wall: 900_000 + late })).toBe(false);
   });
 
   it('ends with a suspension, during which the monotonic clock stops', () => {
     // Guards against an instance whose machine was suspended between claim and command, and which
     // sends the command with an outdated token after another instance has taken over.
-    expect(isClaimValid(claimed, { steady: 1_010, wall: 904_010 })).toBe(false);
+    expect(isClaimValid(claimed, { monotonic: 1_010, wall: 904_010 })).toBe(false);
   });
 });
 
@@ -142,7 +144,7 @@
     capacity: 4,
     delay: 0,
     wait,
-    isReserved: false,
+    hasExclusiveStatements: false,
   });
 
   it.each([
@@ -165,7 +167,7 @@
   it('lowers the estimate of a slow member over time', () => {
     const estimate = createLatencyEstimate(30);
     for (let answer = 0; answer < 60; answer += 1) estimate.record(400, 0);
-    const [slow, later] = [estimate.current(0), estimate.current(8_000)];
+    const [slow, later] = [estimate.getCurrent(0), estimate.getCurrent(8_000)];
     expect(slow).toBeGreaterThan(300);
     expect(later).toBeLessThan(60);
   });
--- a/packages/pooling/src/test/replicationTracker.test.ts
+++ b/packages/pooling/src/test/replicationTracker.test.ts
@@ -1,14 +1,22 @@
 import { describe, expect, it } from 'vitest';
 import type { Position } from '@wisterialift/schema';
-import { createGroupEvidence } from '../index';
-import type { ConfirmationResult, EvidenceWait, GroupEvidence, Observation } from '../index';
+import { createReplicationTracker } from '../index';
+import type {
+  ConfirmationResult,
+  ConfirmationWait,
+  ReplicationTracker,
+  MemberObservation,
+} from '../index';
 
 /** Observes an answer to a request sent after all earlier ones. */
-function observe(tracker: GroupEvidence, seen: Partial<Observation> & { memberId: string }): void {
+function observe(
+  tracker: ReplicationTracker,
+  seen: Partial<MemberObservation> & { memberId: string },
+): void {
   const { term = 1, position = { term, index: 1 } } = seen;
   tracker.observe({
-    askedSequence: tracker.nextSequence(),
-    askedAt: 0,
+    requestSequenceNumber: tracker.takeNextSequenceNumber(),
+    requestedAt: 0,
     isPrimary: false,
     applied: position,
     ...seen,
@@ -17,15 +25,19 @@
   });
 }
 
-async function getResult(wait: EvidenceWait): Promise<ConfirmationResult | 'pending'> {
-  return Promise.race([wait.verdict, Promise.resolve().then(() => 'pending' as const)]);
+async function getResult(wait: ConfirmationWait): Promise<ConfirmationResult | 'pending'> {
+  return Promise.race([wait.result, Promise.resolve().then(() => 'pending' as const)]);
 }
 
 const MEMBERS = ['a', 'b', 'c'];
 
 /** Waits until a replica has received a commit of the primary `a`. */
-function waitForCopy(tracker: GroupEvidence, position: Position, members = MEMBERS): EvidenceWait {
-  return tracker.waitForCopy({ position, primaryId: 'a', memberIds: () => members });
+function waitForReplication(
+  tracker: ReplicationTracker,
+  position: Position,
+  members = MEMBERS,
+): ConfirmationWait {
+  return tracker.waitForReplication({ position, primaryId: 'a', memberIds: () => members });
 }
 
 describe('confirming a commit', () => {
@@ -53,16 +65,16 @@
       { type: 'superseded', term: 2 },
     ],
   ])('%s', async (_, seen, expected) => {
-    const tracker = createGroupEvidence();
-    const wait = waitForCopy(tracker, position);
+    const tracker = createReplicationTracker();
+    const wait = waitForReplication(tracker, position);
     observe(tracker, seen);
     expect(await getResult(wait)).toEqual(expected);
   });
 
   it('counts observations from before the wait', async () => {
-    const tracker = createGroupEvidence();
+    const tracker = createReplicationTracker();
     observe(tracker, { memberId: 'b', position });
-    expect(await getResult(waitForCopy(tracker, position))).toEqual({
+    expect(await getResult(waitForReplication(tracker, position))).toEqual({
       type: 'proved',
     });
   });
@@ -74,9 +86,9 @@
   it('stays pending until a replica that has received it has applied the term', async () => {
     // Guards against an outdated read: a replica that confirms a commit with an unapplied entry could
     // then confirm a read of the replaced primary in the former term.
-    const tracker = createGroupEvidence();
+    const tracker = createReplicationTracker();
     const applied = { term: 1, index: 55 };
-    const wait = waitForCopy(tracker, position);
+    const wait = waitForReplication(tracker, position);
     observe(tracker, { memberId: 'b', term: 2, position, applied });
     expect(await getResult(wait)).toBe('pending');
     observe(tracker, { memberId: 'b', term: 2, position: { term: 2, index: 56 } });
@@ -86,8 +98,8 @@
   it('stays pending until a second replica of a group of four has applied the term', async () => {
     // Guards against an outdated read: one replica confirms the commit while another one, which lags,
     // confirms a read of the replaced primary.
-    const tracker = createGroupEvidence();
-    const wait = waitForCopy(tracker, position, ['a', 'b', 'c', 'd']);
+    const tracker = createReplicationTracker();
+    const wait = waitForReplication(tracker, position, ['a', 'b', 'c', 'd']);
     observe(tracker, { memberId: 'b', term: 2, position });
     expect(await getResult(wait)).toBe('pending');
     observe(tracker, { memberId: 'c', term: 2, position: { term: 2, index: 1 } });
@@ -95,10 +107,10 @@
   });
 
   it('does not count a removed member', async () => {
-    const tracker = createGroupEvidence();
+    const tracker = createReplicationTracker();
     observe(tracker, { memberId: 'b', term: 2, position });
-    tracker.forgetMember('b');
-    expect(await getResult(waitForCopy(tracker, position))).toBe('pending');
+    tracker.removeMember('b');
+    expect(await getResult(waitForReplication(tracker, position))).toBe('pending');
   });
 });
 
@@ -106,50 +118,50 @@
   it('counts only answers to requests sent after the read arrived', async () => {
     // Guards against an outdated read that is confirmed by an answer requested before the primary was
     // replaced and a write was acknowledged, both before the read arrived.
-    const tracker = createGroupEvidence();
-    const askedSequence = tracker.nextSequence();
-    const sequence = tracker.nextSequence();
-    const wait = tracker.waitForTerm({ term: 1, sequence, primaryId: 'a' });
-    observe(tracker, { memberId: 'b', askedSequence });
+    const tracker = createReplicationTracker();
+    const requestSequenceNumber = tracker.takeNextSequenceNumber();
+    const sequence = tracker.takeNextSequenceNumber();
+    const wait = tracker.waitForTermConfirmation({ term: 1, sequence, primaryId: 'a' });
+    observe(tracker, { memberId: 'b', requestSequenceNumber });
     expect(await getResult(wait)).toBe('pending');
     observe(tracker, { memberId: 'b' });
     expect(await getResult(wait)).toEqual({ type: 'proved' });
   });
 
   it('is superseded by a member of a later term', async () => {
-    const tracker = createGroupEvidence();
-    const wait = tracker.waitForTerm({ term: 1, sequence: 0, primaryId: 'a' });
+    const tracker = createReplicationTracker();
+    const wait = tracker.waitForTermConfirmation({ term: 1, sequence: 0, primaryId: 'a' });
     observe(tracker, { memberId: 'c', term: 3 });
     expect(await getResult(wait)).toEqual({ type: 'superseded', term: 3 });
   });
 
   it('removes a cancelled wait', () => {
-    const tracker = createGroupEvidence();
-    tracker.waitForTerm({ term: 1, sequence: 0, primaryId: 'a' }).cancel();
+    const tracker = createReplicationTracker();
+    tracker.waitForTermConfirmation({ term: 1, sequence: 0, primaryId: 'a' }).cancel();
     expect(tracker.hasPendingWaits()).toBe(false);
   });
 });
 
 describe('the minimum position of a read with bounded staleness', () => {
-  const sample = (tracker: GroupEvidence, askedAt: number, index: number, term = 1) =>
+  const sample = (tracker: ReplicationTracker, requestedAt: number, index: number, term = 1) =>
     observe(tracker, {
       memberId: 'a',
-      askedAt,
+      requestedAt,
       isPrimary: true,
       term,
       position: { term, index },
     });
 
   it('is the oldest position of the primary within the maximum age', () => {
-    const tracker = createGroupEvidence();
-    [100, 600, 1_100].forEach((askedAt, index) => sample(tracker, askedAt, index + 1));
+    const tracker = createReplicationTracker();
+    [100, 600, 1_100].forEach((requestedAt, index) => sample(tracker, requestedAt, index + 1));
     const minimumIndexAt = (now: number) =>
       tracker.findFloor({ now, maximumAge: 500 })?.position.index;
     expect([600, 601, 1_100, 1_601].map(minimumIndexAt)).toEqual([1, 2, 2, undefined]);
   });
 
   it('ignores samples of earlier terms', () => {
-    const tracker = createGroupEvidence();
+    const tracker = createReplicationTracker();
     sample(tracker, 100, 7);
     observe(tracker, { memberId: 'b', term: 2 });
     expect(tracker.findFloor({ now: 200, maximumAge: 500 })).toBeUndefined();
@@ -161,9 +173,9 @@
   });
 
   it('is undefined after the samples were cleared', () => {
-    const tracker = createGroupEvidence();
+    const tracker = createReplicationTracker();
     sample(tracker, 100, 7);
-    tracker.forgetAges();
+    tracker.clearPositionSamples();
     expect(tracker.findFloor({ now: 100, maximumAge: 500 })).toBeUndefined();
   });
 });
@@ -173,32 +185,38 @@
 
   it('confirms nothing with positions received before the restart', async () => {
     // Guards against acknowledging a commit because of a replica that lost its log in a restart.
-    const tracker = createGroupEvidence();
+    const tracker = createReplicationTracker();
     observe(tracker, { memberId: 'b', position });
-    tracker.restartMember('b', { trustedFrom: 0 });
-    expect(await getResult(waitForCopy(tracker, position))).toBe('pending');
+    tracker.discardObservationsBefore('b', { validFrom: 0 });
+    expect(await getResult(waitForReplication(tracker, position))).toBe('pending');
   });
 
   it('counts no answer requested before a promotion may have ended', async () => {
     // Guards against a lost write: a replica that restarts after a promotion has read its log may
     // receive a commit from the old primary and confirm it.
-    const tracker = createGroupEvidence();
-    tracker.restartMember('b', { trustedFrom: 3_000 });
-    const wait = waitForCopy(tracker, position);
+    const tracker = createReplicationTracker();
+    tracker.discardObservationsBefore('b', { validFrom: 3_000 });
+    const wait = waitForReplication(tracker, position);
     const results = [];
-    observe(tracker, { memberId: 'b', position, askedAt: 2_900 });
+    observe(tracker, { memberId: 'b', position, requestedAt: 2_900 });
     results.push(await getResult(wait));
-    observe(tracker, { memberId: 'b', position, askedAt: 3_100 });
+    observe(tracker, { memberId: 'b', position, requestedAt: 3_100 });
     results.push(await getResult(wait));
     expect(results).toEqual(['pending', { type: 'proved' }]);
   });
 
   it('still reports a later term, and log ends as its primary', async () => {
-    const tracker = createGroupEvidence();
-    tracker.restartMember('b', { trustedFrom: 3_000 });
+    const tracker = createReplicationTracker();
+    tracker.discardObservationsBefore('b', { validFrom: 3_000 });
     const later = { term: 2, index: 7 };
-    observe(tracker, { memberId: 'b', term: 2, position: later, askedAt: 100, isPrimary: true });
-    expect(await getResult(waitForCopy(tracker, position))).toEqual({
+    observe(tracker, {
+      memberId: 'b',
+      term: 2,
+      position: later,
+      requestedAt: 100,
+      isPrimary: true,
+    });
+    expect(await getResult(waitForReplication(tracker, position))).toEqual({
       type: 'superseded',
       term: 2,
     });
--- a/packages/pooling/src/test/routing.test.ts
+++ b/packages/pooling/src/test/routing.test.ts
@@ -1,9 +1,9 @@
 import { describe, expect, it } from 'vitest';
 import {
   chooseNextStatement,
-  comeBackTime,
-  createReplicaLag,
-  longestWait,
+  computeRetryDelay,
+  createLagEstimate,
+  computeMaximumQueueWait,
   orderMembersForRead,
 } from '../index';
 
@@ -12,7 +12,7 @@
   const observed = { applied: { term: 1, index: 5 }, lag: 4_000, now: 1_100 };
 
   function createLaggingReplica() {
-    const lag = createReplicaLag();
+    const lag = createLagEstimate();
     lag.observe(observed);
     return lag;
   }
@@ -20,9 +20,9 @@
   it('estimates how long a read would wait', () => {
     const lag = createLaggingReplica();
     expect([
-      lag.timeUntilApplied(required, 1_100),
-      lag.timeUntilApplied(required, 6_000),
-      lag.timeUntilApplied({ ...required, position: { term: 1, index: 5 } }, 1_100),
+      lag.estimateTimeUntilApplied(required, 1_100),
+      lag.estimateTimeUntilApplied(required, 6_000),
+      lag.estimateTimeUntilApplied({ ...required, position: { term: 1, index: 5 } }, 1_100),
     ]).toEqual([3_900, 0, 0]);
   });
 
@@ -30,26 +30,33 @@
     // Guards against a replica that has caught up but receives no reads, since only reads update its
     // estimate.
     const lag = createLaggingReplica();
-    const results = [lag.mayBeTried(1_300), lag.mayBeTried(1_600)];
-    lag.beginTrial();
-    results.push(lag.mayBeTried(1_600));
-    lag.endTrial();
-    results.push(lag.mayBeTried(1_600));
+    const results = [lag.canTryRead(1_300), lag.canTryRead(1_600)];
+    lag.beginTrialRead();
+    results.push(lag.canTryRead(1_600));
+    lag.endTrialRead();
+    results.push(lag.canTryRead(1_600));
     lag.observe({ ...observed, now: 1_650 });
-    results.push(lag.mayBeTried(1_700));
+    results.push(lag.canTryRead(1_700));
     expect(results).toEqual([false, true, false, true, false]);
   });
 
   it('describes the last lag and its age', () => {
     expect([
-      createReplicaLag().describe(1),
-      createLaggingReplica().describe(1_500),
+      createLagEstimate().getLastObservation(1),
+      createLaggingReplica().getLastObservation(1_500),
     ]).toMatchSnapshot();
   });
 });
 
 describe('ordering members for a read', () => {
-  const idle = { latency: 30, load: 0, capacity: 4, delay: 0, wait: 0, isReserved: false };
+  const idle = {
+    latency: 30,
+    load: 0,
+    capacity: 4,
+    delay: 0,
+    wait: 0,
+    hasExclusiveStatements: false,
+  };
 
   it.each([
     [
@@ -63,7 +70,7 @@
     [
       'a remote replica over a near primary',
       [
-        { ...idle, memberId: 'primary', isReserved: true },
+        { ...idle, memberId: 'primary', hasExclusiveStatements: true },
         { ...idle, memberId: 'replica', latency: 55 },
       ],
       'replica',
@@ -71,7 +78,7 @@
     [
       'the primary over a lagging replica',
       [
-        { ...idle, memberId: 'primary', isReserved: true },
+        { ...idle, memberId: 'primary', hasExclusiveStatements: true },
         { ...idle, memberId: 'replica', wait: 400 },
       ],
       'primary',
@@ -103,11 +110,11 @@
 
 describe('the maximum time in a queue', () => {
   it('is the time left in a burst, and at most a fraction of the goal in an overload', () => {
-    const statement = { goal: 1_000, timeLeft: 900 };
+    const statement = { latencyGoal: 1_000, timeLeft: 900 };
     expect([
-      longestWait({ ...statement, queuedFor: 0 }),
-      longestWait({ ...statement, queuedFor: 5_000 }),
-      longestWait({ ...statement, timeLeft: 100, queuedFor: 5_000 }),
+      computeMaximumQueueWait({ ...statement, timeSinceEmpty: 0 }),
+      computeMaximumQueueWait({ ...statement, timeSinceEmpty: 5_000 }),
+      computeMaximumQueueWait({ ...statement, timeLeft: 100, timeSinceEmpty: 5_000 }),
     ]).toEqual([900, 250, 100]);
   });
 });
@@ -115,11 +122,11 @@
 describe('the delay before a retry', () => {
   it('follows the expected wait, with jitter and within limits', () => {
     expect([
-      comeBackTime({ expectedWait: 400, spread: 0 }),
-      comeBackTime({ expectedWait: 400, spread: 0.5 }),
-      comeBackTime({ spread: 0 }),
-      comeBackTime({ expectedWait: 0, spread: 0 }),
-      comeBackTime({ expectedWait: 60_000, spread: 0 }),
+      computeRetryDelay({ expectedWait: 400, jitter: 0 }),
+      computeRetryDelay({ expectedWait: 400, jitter: 0.5 }),
+      computeRetryDelay({ jitter: 0 }),
+      computeRetryDelay({ expectedWait: 0, jitter: 0 }),
+      computeRetryDelay({ expectedWait: 60_000, jitter: 0 }),
     ]).toEqual([400, 500, 300, 50, 2_000]);
   });
 });
--- a/packages/proxy/src/lib/configuration/announcer.ts
+++ b/packages/proxy/src/lib/configuration/announcer.ts
@@ -1,5 +1,5 @@
 import { setTimeout as sleep } from 'node:timers/promises';
-import { chooseAudience } from '@wisterialift/core';
+import { chooseForwardingTargets } from '@wisterialift/core';
 import type { ConfigurationSource } from '@wisterialift/core';
 import type { PeerClient, PublishedPrimary } from '@wisterialift/peer';
 import type { ConfigurationObject } from '@wisterialift/schema';
@@ -31,7 +31,7 @@
 
   function announceConfiguration(object: ConfigurationObject, source: ConfigurationSource): void {
     const topology = { self: registry.self(), instances: registry.instances(), source };
-    chooseAudience(topology).forEach(({ peerAddress }) => {
+    chooseForwardingTargets(topology).forEach(({ peerAddress }) => {
       void announceToPeer(peerAddress, object);
     });
   }
--- a/packages/proxy/src/lib/configuration/configurationFollower.ts
+++ b/packages/proxy/src/lib/configuration/configurationFollower.ts
@@ -1,4 +1,4 @@
-import { backOffMilliseconds, jitterMilliseconds } from '@wisterialift/core';
+import { computeBackOffMilliseconds, applyJitter } from '@wisterialift/core';
 import type { BackOffTimes } from '@wisterialift/core';
 import type { Settings } from '@wisterialift/schema';
 import type { ConfigurationState } from './configurationState';
@@ -102,7 +102,7 @@
   }
 
   function getPollDelay(): number {
-    return jitterMilliseconds({ milliseconds: settings.pollMilliseconds, random: random() });
+    return applyJitter({ milliseconds: settings.pollMilliseconds, random: random() });
   }
 
   function onSuccess(delayMilliseconds: number): number {
@@ -112,7 +112,7 @@
 
   function onFailure(): number {
     failures += 1;
-    return backOffMilliseconds({ failures, random: random(), times: backOff });
+    return computeBackOffMilliseconds({ failures, random: random(), times: backOff });
   }
 
   return runStep;
--- a/packages/proxy/src/lib/configuration/configurationState.ts
+++ b/packages/proxy/src/lib/configuration/configurationState.ts
@@ -1,4 +1,4 @@
-import { adoptConfiguration } from '@wisterialift/core';
+import { decideAdoption } from '@wisterialift/core';
 import type { ConfigurationSource } from '@wisterialift/core';
 import type { HeldConfiguration } from '@wisterialift/peer';
 import type { ConfigurationObject } from '@wisterialift/schema';
@@ -43,7 +43,7 @@
   }
 
   function adoptIfNewer(candidate: unknown, source: ConfigurationSource): boolean {
-    const adoption = adoptConfiguration({ currentNumber: current?.number, candidate });
+    const adoption = decideAdoption({ currentNumber: current?.number, candidate });
     if (adoption.status === 'invalid') {
       record({ name: 'configurationRefused', source, faults: adoption.faults });
     }
--- a/packages/proxy/src/lib/configuration/configurationTask.ts
+++ b/packages/proxy/src/lib/configuration/configurationTask.ts
@@ -1,5 +1,5 @@
-import { settlePatch } from '@wisterialift/core';
-import type { ConfigurationSource, PatchFinding, PatchOutcome } from '@wisterialift/core';
+import { findPatchStatus } from '@wisterialift/core';
+import type { ConfigurationSource, PatchStatusResult, PatchOutcome } from '@wisterialift/core';
 import type { PeerClient, PeerHandlers, PublishedPrimary } from '@wisterialift/peer';
 import type { PlatformClient } from '@wisterialift/platform';
 import type {
@@ -55,7 +55,7 @@
 }
 
 /** Result of a lookup by patch id; `unknown` if the platform did not answer. @public */
-export type PatchLookupResult = PatchFinding | { status: 'unknown' };
+export type PatchLookupResult = PatchStatusResult | { status: 'unknown' };
 
 /**
  * Configuration number of one instance; -1 before its first configuration, undefined if it did not
@@ -269,7 +269,7 @@
   function settleFromCurrent(patch: ConfigurationPatch, outcome: PatchOutcome): PatchOutcome {
     const configurationObject = state.current();
     if (outcome.status !== 'unknown' || !configurationObject) return outcome;
-    const finding = settlePatch({ configurationObject, ...patch });
+    const finding = findPatchStatus({ configurationObject, ...patch });
     if (finding.status === 'accepted') return { status: 'accepted', number: finding.patch.number };
     if (finding.status !== 'refused') return outcome;
     return { status: 'outdated', presentNumber: finding.presentNumber };
@@ -283,7 +283,7 @@
       const found = await reader.read();
       if (!found) return { status: 'pending', presentNumber: 0 };
       const { configurationObject } = found;
-      return settlePatch({ configurationObject, patchId, againstNumber });
+      return findPatchStatus({ configurationObject, patchId, againstNumber });
     } catch {
       return { status: 'unknown' };
     }
--- a/packages/proxy/src/lib/configuration/instanceRegistry.ts
+++ b/packages/proxy/src/lib/configuration/instanceRegistry.ts
@@ -1,13 +1,13 @@
 import {
   MISSED_LISTS_LIMIT,
-  chooseSources,
+  orderWatchersToQuery,
   createInstanceView,
-  instancesOf,
+  listInstances,
   isWatcher,
-  jitterMilliseconds,
+  applyJitter,
   mergeInstanceList,
-  mergeLeaving,
-  withSelf,
+  markLeaving,
+  replaceSelf,
 } from '@wisterialift/core';
 import type { PeerInstances } from '@wisterialift/peer';
 import type { PlatformClient } from '@wisterialift/platform';
@@ -57,7 +57,7 @@
   const { pollMilliseconds, watchMilliseconds } = settings.platform;
   const ageLimitMilliseconds = 2 * Math.max(pollMilliseconds, watchMilliseconds);
   let view = createInstanceView(createSelf(settings));
-  let knownInstances = instancesOf(view);
+  let knownInstances = listInstances(view);
   let isRecordedAsWatcher = true;
   let listReadAt = -Infinity;
   let isRegistered = false;
@@ -65,7 +65,7 @@
 
   function updateView(next: typeof view): void {
     view = next;
-    const instances = instancesOf(view);
+    const instances = listInstances(view);
     if (JSON.stringify(instances) === JSON.stringify(knownInstances)) return;
     knownInstances = instances;
     record({ name: 'instancesChanged', ...groupNamesByState(instances) });
@@ -86,7 +86,7 @@
 
   function listSourceAddresses(): string[] {
     if (isSelfWatcher()) return [];
-    return chooseSources({ self: view.self, instances: knownInstances }).map(getPeerAddress);
+    return orderWatchersToQuery({ self: view.self, instances: knownInstances }).map(getPeerAddress);
   }
 
   function listPeerAddresses(): string[] {
@@ -99,7 +99,7 @@
   async function runStep(): Promise<number> {
     await registerSelf();
     await readList();
-    return jitterMilliseconds({ milliseconds: pollMilliseconds, random: random() });
+    return applyJitter({ milliseconds: pollMilliseconds, random: random() });
   }
 
   async function registerSelf(): Promise<void> {
@@ -159,7 +159,7 @@
 
   function updateSelf(changes: Partial<Instance>): void {
     isRegistered = false;
-    updateView(withSelf(view, { ...view.self, ...changes }));
+    updateView(replaceSelf(view, { ...view.self, ...changes }));
   }
 
   return {
@@ -171,7 +171,7 @@
     ageLimitMilliseconds,
     getSnapshot: () => ({ instances: knownInstances, ageMilliseconds: now() - listReadAt }),
     updateSelf,
-    onLeavingAnnounced: (name) => updateView(mergeLeaving({ view, name, now: now() })),
+    onLeavingAnnounced: (name) => updateView(markLeaving({ view, name, now: now() })),
     runStep,
   };
 }
--- a/packages/proxy/src/lib/configuration/patchSubmitter.ts
+++ b/packages/proxy/src/lib/configuration/patchSubmitter.ts
@@ -1,5 +1,5 @@
 import { setTimeout as sleep } from 'node:timers/promises';
-import { backOffMilliseconds, createPatchSubmission } from '@wisterialift/core';
+import { computeBackOffMilliseconds, createPatchSubmission } from '@wisterialift/core';
 import type { PatchOutcome, SubmissionEvent, SubmissionStep } from '@wisterialift/core';
 import { PlatformUnavailableError, VersionConflictError } from '@wisterialift/platform';
 import type { PlatformClient } from '@wisterialift/platform';
@@ -55,7 +55,7 @@
       }
     },
     wait: async ({ failures }) => {
-      await sleep(backOffMilliseconds({ failures, random: random(), times: times.backOff }));
+      await sleep(computeBackOffMilliseconds({ failures, random: random(), times: times.backOff }));
       return { type: 'waitOver' };
     },
     finish: async () => undefined,
--- a/packages/proxy/src/lib/configuration/primaryPublisher.ts
+++ b/packages/proxy/src/lib/configuration/primaryPublisher.ts
@@ -1,5 +1,5 @@
 import { setTimeout as sleep } from 'node:timers/promises';
-import { backOffMilliseconds } from '@wisterialift/core';
+import { computeBackOffMilliseconds } from '@wisterialift/core';
 import { PlatformUnavailableError, VersionConflictError } from '@wisterialift/platform';
 import type { PlatformClient } from '@wisterialift/platform';
 import { GROUP_OBJECT_KIND, groupObjectSchema } from '@wisterialift/schema';
@@ -77,7 +77,7 @@
   }
 
   async function sleepAfterFailure(failures: number): Promise<void> {
-    const delayMilliseconds = backOffMilliseconds({
+    const delayMilliseconds = computeBackOffMilliseconds({
       failures,
       random: random(),
       times: times.backOff,
--- a/packages/proxy/src/lib/statements/caller/callerErrors.ts
+++ b/packages/proxy/src/lib/statements/caller/callerErrors.ts
@@ -1,5 +1,5 @@
 import type { SqlError } from '@wisterialift/mysql';
-import type { NotRunReason, Outcome, UnknownReason } from '@wisterialift/schema';
+import type { NotRunReason, RequestOutcome, UnknownOutcomeReason } from '@wisterialift/schema';
 
 /**
  * Codes of the errors that the proxy itself sends to callers:
@@ -64,14 +64,14 @@
   stopping: 'this proxy is stopping; connect again',
 };
 
-const textByUnknownReason: Record<UnknownReason, string> = {
+const textByUnknownReason: Record<UnknownOutcomeReason, string> = {
   connectionLost: 'the connection to the database ended before its answer',
   deadline: 'no confirmation within its deadline',
   primaryReplaced: 'the primary that ran it was replaced',
   stopping: 'this proxy stopped before the answer',
 };
 
-type FailedOutcome = Exclude<Outcome, { status: 'done' }>;
+type FailedOutcome = Exclude<RequestOutcome, { status: 'done' }>;
 
 const textByStatus: {
   [Status in FailedOutcome['status']]: (
--- a/packages/proxy/src/lib/statements/caller/callerRequests.ts
+++ b/packages/proxy/src/lib/statements/caller/callerRequests.ts
@@ -1,10 +1,10 @@
-import type { Access, EngineRequest, Statement } from '@wisterialift/core';
+import type { Access, EngineRequest, ClassifiedStatement } from '@wisterialift/core';
 import type { CallerConnection, CompletedAnswer, FinalPacket } from '@wisterialift/mysql';
 import { toFrames } from '@wisterialift/mysql';
 import {
-  DEFAULT_KIND,
+  DEFAULT_REQUEST_KIND,
   type Configuration,
-  type Outcome,
+  type RequestOutcome,
   type RequestKind,
 } from '@wisterialift/schema';
 import { createMailbox } from '../mailbox';
@@ -47,7 +47,7 @@
   /** Sends the database's answer, or an error of the proxy, to the caller. */
   sendAnswer: (finished: FinishedRequest) => void;
   /** Reports the outcome and latency of the current request; `sendAnswer` does so itself. */
-  observe: (status: Outcome['status']) => void;
+  observe: (status: RequestOutcome['status']) => void;
   /** Forgets the current request; call after its answer has been sent. */
   clearCurrent: () => void;
   /** Cancels the current request because the caller has disconnected. */
@@ -139,7 +139,7 @@
     ok: ({ ok }, { frames, sequence }) => {
       callerSession.setLastInsertId(ok.insertId);
       connection.writeFrames(frames);
-      answers.sendOk(ok, sequence, ok.gtid === undefined ? undefined : session.token());
+      answers.sendOk(ok, sequence, ok.gtid === undefined ? undefined : session.createToken());
     },
     eof: ({ payload }, { frames, sequence }) => {
       answers.sendFrames([...frames, toFrames(payload, sequence)]);
@@ -165,11 +165,11 @@
 
   function createRequest(
     access: Access,
-    { options: { kind: kindOption, token } }: Statement,
+    { options: { kind: kindOption, token } }: ClassifiedStatement,
     group: string,
     transactionId?: string,
   ): EngineRequest {
-    const kind = kindOption ?? session.kind ?? DEFAULT_KIND;
+    const kind = kindOption ?? session.kind ?? DEFAULT_REQUEST_KIND;
     const settings = getKindSettings(kind);
     const arrivedAt = clock();
     requestCount += 1;
@@ -179,7 +179,7 @@
       weight: findCaller(getConfiguration(), caller)?.weight ?? 1,
       kind,
       access,
-      token: access === 'commit' ? undefined : session.floorOf(group, token),
+      token: access === 'commit' ? undefined : session.resolveFloor(group, token),
       maximumStalenessMilliseconds: settings.maximumStalenessMilliseconds,
       arrivedAt,
       deadlineAt: arrivedAt + settings.deadlineMilliseconds,
@@ -212,7 +212,7 @@
     };
   }
 
-  function observe(status: Outcome['status']): void {
+  function observe(status: RequestOutcome['status']): void {
     if (!current) return;
     const { group, kind, access, startedAt } = current;
     const latencyMilliseconds = clock() - startedAt;
--- a/packages/proxy/src/lib/statements/caller/callerTask.ts
+++ b/packages/proxy/src/lib/statements/caller/callerTask.ts
@@ -2,7 +2,7 @@
   InvalidSessionVariableError,
   InvalidTokenError,
   classifyStatement,
-  type StatementRequest,
+  type StatementClassification,
 } from '@wisterialift/core';
 import type { CallerCommand, CallerConnection, CallerLogin, SqlError } from '@wisterialift/mysql';
 import type { Configuration } from '@wisterialift/schema';
@@ -45,8 +45,8 @@
 }
 
 type StatementHandlers = {
-  [Type in StatementRequest['type']]: (
-    request: Extract<StatementRequest, { type: Type }>,
+  [Type in StatementClassification['type']]: (
+    request: Extract<StatementClassification, { type: Type }>,
     received: ReceivedStatement,
   ) => void;
 };
@@ -201,7 +201,7 @@
   function run(received: ReceivedStatement): void {
     const { request } = received.statement;
     const handle = statementHandlers[request.type] as (
-      request: StatementRequest,
+      request: StatementClassification,
       received: ReceivedStatement,
     ) => void;
     handle(request, received);
--- a/packages/proxy/src/lib/statements/caller/callerTransaction.ts
+++ b/packages/proxy/src/lib/statements/caller/callerTransaction.ts
@@ -1,4 +1,4 @@
-import type { Outcome } from '@wisterialift/schema';
+import type { RequestOutcome } from '@wisterialift/schema';
 import type { AnswerWriter } from './answerWriter';
 import { createCallerError, createOutcomeError } from './callerErrors';
 import type { CallerRequests, TransactionReference } from './callerRequests';
@@ -159,7 +159,7 @@
 }
 
 /** If COMMIT was not run, the connection is closed and the database rolls back. */
-function toCommitOutcome(outcome: Outcome): Outcome {
+function toCommitOutcome(outcome: RequestOutcome): RequestOutcome {
   if (outcome.status !== 'notRun') return outcome;
   return { status: 'discarded', retryAfterMilliseconds: outcome.retryAfterMilliseconds };
 }
--- a/packages/proxy/src/lib/statements/caller/callerTypes.ts
+++ b/packages/proxy/src/lib/statements/caller/callerTypes.ts
@@ -1,6 +1,6 @@
-import type { Access, Statement } from '@wisterialift/core';
+import type { Access, ClassifiedStatement } from '@wisterialift/core';
 import type { CompletedAnswer, SqlError, UpstreamStatement } from '@wisterialift/mysql';
-import type { Outcome } from '@wisterialift/schema';
+import type { RequestOutcome } from '@wisterialift/schema';
 import type { GroupMailbox } from '../groupMessages';
 import type { PreparedDescriptionCache } from './preparedDescriptionCache';
 
@@ -10,7 +10,7 @@
   kind: string;
   caller: string;
   access: Access;
-  status: Outcome['status'];
+  status: RequestOutcome['status'];
   latencyMilliseconds: number;
 }
 
@@ -22,7 +22,7 @@
 
 /** A statement that a caller has sent, as text or as an execute command. @internal */
 export interface ReceivedStatement {
-  statement: Statement;
+  statement: ClassifiedStatement;
   /** Creates the upstream command. Call only once, since it consumes the long parameter values. */
   toUpstream: () => UpstreamStatement;
   /** Whether result rows use the binary protocol, as for prepared statements. */
@@ -32,7 +32,7 @@
 /** The result of a request. @internal */
 export interface FinishedRequest {
   requestId: string;
-  outcome: Outcome;
+  outcome: RequestOutcome;
   /** Set only if the outcome's status is `done`. */
   answer: CompletedAnswer | undefined;
 }
--- a/packages/proxy/src/lib/statements/caller/preparedStatements.ts
+++ b/packages/proxy/src/lib/statements/caller/preparedStatements.ts
@@ -1,11 +1,11 @@
-import { classifyStatement, type Statement } from '@wisterialift/core';
+import { classifyStatement, type ClassifiedStatement } from '@wisterialift/core';
 import type { UpstreamStatement } from '@wisterialift/mysql';
 
 /** A statement that a caller has prepared. @internal */
 export interface PreparedStatement {
   id: number;
   sql: string;
-  statement: Statement;
+  statement: ClassifiedStatement;
   parameterCount: number;
   /** Parameter types as last sent by the caller. */
   types: Buffer | undefined;
--- a/packages/proxy/src/lib/statements/caller/sessionVariables.ts
+++ b/packages/proxy/src/lib/statements/caller/sessionVariables.ts
@@ -57,7 +57,7 @@
   wait_timeout: createConstant('28800'),
   wisterialift_kind: ({ session }) => session.kind ?? '',
   wisterialift_session: ({ session }) => session.name ?? '',
-  wisterialift_token: ({ session }) => session.token(),
+  wisterialift_token: ({ session }) => session.createToken(),
   'connection_id()': ({ connectionId }) => String(connectionId),
   'current_user()': ({ caller }) => `${caller}@%`,
   'database()': ({ group }) => group ?? null,
--- a/packages/proxy/src/lib/statements/group/statementResult.ts
+++ b/packages/proxy/src/lib/statements/group/statementResult.ts
@@ -1,6 +1,6 @@
 import type { StatementResult } from '@wisterialift/core';
 import type { CompletedAnswer } from '@wisterialift/mysql';
-import { parsePosition, type Outcome } from '@wisterialift/schema';
+import { parsePosition, type RequestOutcome } from '@wisterialift/schema';
 import type { StatementRun } from './statementRun';
 
 /** Error of a replica that receives a write; nothing was run. */
@@ -11,12 +11,12 @@
 const modifyingAccess: ReadonlySet<StatementRun['access']> = new Set(['write', 'commit']);
 
 /** The outcome of a statement whose transaction was rolled back. @internal */
-export const TRANSACTION_DISCARDED_OUTCOME: Outcome = {
+export const TRANSACTION_DISCARDED_OUTCOME: RequestOutcome = {
   status: 'discarded',
   retryAfterMilliseconds: TRANSACTION_RETRY_DELAY_MILLISECONDS,
 };
 
-const IMPLICIT_COMMIT_OUTCOME: Outcome = {
+const IMPLICIT_COMMIT_OUTCOME: RequestOutcome = {
   status: 'unknown',
   reason: 'connectionLost',
   retryAfterMilliseconds: TRANSACTION_RETRY_DELAY_MILLISECONDS,
@@ -40,7 +40,7 @@
   return { kind: 'lost', answerStarted: hasAnswerStarted };
 }
 
-const outcomeByResultKind: Record<StatementResult['kind'], Outcome> = {
+const outcomeByResultKind: Record<StatementResult['kind'], RequestOutcome> = {
   completed: { status: 'done' },
   databaseError: { status: 'done' },
   refused: TRANSACTION_DISCARDED_OUTCOME,
@@ -48,7 +48,7 @@
 };
 
 /** Converts the result of a statement in a transaction to its outcome. @internal */
-export function toTransactionOutcome(run: StatementRun, result: StatementResult): Outcome {
+export function toTransactionOutcome(run: StatementRun, result: StatementResult): RequestOutcome {
   return hasCommitted(run) ? IMPLICIT_COMMIT_OUTCOME : outcomeByResultKind[result.kind];
 }
 
--- a/packages/schema/src/index.ts
+++ b/packages/schema/src/index.ts
@@ -1,9 +1,9 @@
 export {
-  ORIGIN,
+  INITIAL_POSITION,
   comparePositions,
   formatPosition,
   isAtMost,
-  maxPosition,
+  getHigherPosition,
   parsePosition,
   positionSchema,
   type Position,
@@ -18,7 +18,7 @@
 } from './lib/group/memberStatus';
 export { GROUP_OBJECT_KIND, groupObjectSchema, type GroupObject } from './lib/group/groupObject';
 export {
-  DEFAULT_KIND,
+  DEFAULT_REQUEST_KIND,
   callerSchema,
   configurationSchema,
   databaseSchema,
@@ -34,7 +34,7 @@
 } from './lib/configuration/configuration';
 export {
   CONFIGURATION_OBJECT,
-  REMEMBERED_PATCHES,
+  MAXIMUM_RETAINED_PATCHES,
   acceptedPatchSchema,
   configurationObjectSchema,
   configurationPatchSchema,
@@ -47,9 +47,9 @@
 export { SettingsError, parseSettings, type SettingsIssue } from './lib/settings/parseSettings';
 export {
   notRunReasonSchema,
-  outcomeSchema,
-  unknownReasonSchema,
+  requestOutcomeSchema,
+  unknownOutcomeReasonSchema,
   type NotRunReason,
-  type Outcome,
-  type UnknownReason,
+  type RequestOutcome,
+  type UnknownOutcomeReason,
 } from './lib/request/outcome';
--- a/packages/schema/src/lib/configuration/configuration.ts
+++ b/packages/schema/src/lib/configuration/configuration.ts
@@ -77,7 +77,7 @@
 export type ServiceLevel = z.infer<typeof serviceLevelSchema>;
 
 /** Kind of a request that does not specify one. @public */
-export const DEFAULT_KIND = 'default';
+export const DEFAULT_REQUEST_KIND = 'default';
 
 /**
  * The complete shared configuration.
@@ -123,7 +123,7 @@
     if (!(level.group in configuration.groups)) {
       reportIssue(['serviceLevels', index, 'group'], `no group is named "${level.group}"`);
     }
-    if (level.kind !== DEFAULT_KIND && !(level.kind in configuration.kinds)) {
+    if (level.kind !== DEFAULT_REQUEST_KIND && !(level.kind in configuration.kinds)) {
       reportIssue(['serviceLevels', index, 'kind'], `no kind is named "${level.kind}"`);
     }
   });
--- a/packages/schema/src/lib/configuration/configurationObject.ts
+++ b/packages/schema/src/lib/configuration/configurationObject.ts
@@ -10,7 +10,7 @@
  *
  * @public
  */
-export const REMEMBERED_PATCHES = 256;
+export const MAXIMUM_RETAINED_PATCHES = 256;
 
 /** Record of an accepted patch. @public */
 export const acceptedPatchSchema = z.strictObject({
@@ -33,7 +33,7 @@
 export const configurationObjectSchema = z.strictObject({
   number: z.number().int().nonnegative(),
   configuration: configurationSchema,
-  /** Oldest first, at most {@link REMEMBERED_PATCHES}. */
+  /** Oldest first, at most {@link MAXIMUM_RETAINED_PATCHES}. */
   patches: z.array(acceptedPatchSchema),
 });
 
--- a/packages/schema/src/lib/position/position.ts
+++ b/packages/schema/src/lib/position/position.ts
@@ -14,7 +14,7 @@
 export type Position = z.infer<typeof positionSchema>;
 
 /** The position before the first entry of a log. @public */
-export const ORIGIN: Position = { term: 0, index: 0 };
+export const INITIAL_POSITION: Position = { term: 0, index: 0 };
 
 /**
  * Orders positions by term, then by index.
@@ -36,7 +36,7 @@
 }
 
 /** The higher of two positions. @public */
-export function maxPosition(left: Position, right: Position): Position {
+export function getHigherPosition(left: Position, right: Position): Position {
   return comparePositions(left, right) >= 0 ? left : right;
 }
 
--- a/packages/schema/src/lib/request/outcome.ts
+++ b/packages/schema/src/lib/request/outcome.ts
@@ -16,7 +16,7 @@
 export type NotRunReason = z.infer<typeof notRunReasonSchema>;
 
 /** Why the outcome of a request is unknown. @public */
-export const unknownReasonSchema = z.enum([
+export const unknownOutcomeReasonSchema = z.enum([
   'connectionLost',
   'deadline',
   'primaryReplaced',
@@ -24,7 +24,7 @@
 ]);
 
 /** @public */
-export type UnknownReason = z.infer<typeof unknownReasonSchema>;
+export type UnknownOutcomeReason = z.infer<typeof unknownOutcomeReasonSchema>;
 
 /**
  * Outcome of a request, as reported to the caller.
@@ -37,7 +37,7 @@
  *
  * @public
  */
-export const outcomeSchema = z.discriminatedUnion('status', [
+export const requestOutcomeSchema = z.discriminatedUnion('status', [
   z.strictObject({ status: z.literal('done'), position: positionSchema.optional() }),
   z.strictObject({
     status: z.literal('notRun'),
@@ -46,7 +46,7 @@
   }),
   z.strictObject({
     status: z.literal('unknown'),
-    reason: unknownReasonSchema,
+    reason: unknownOutcomeReasonSchema,
     retryAfterMilliseconds: z.number().int().nonnegative(),
   }),
   z.strictObject({
@@ -56,4 +56,4 @@
 ]);
 
 /** @public */
-export type Outcome = z.infer<typeof outcomeSchema>;
+export type RequestOutcome = z.infer<typeof requestOutcomeSchema>;
--- a/packages/schema/src/lib/settings/parseSettings.ts
+++ b/packages/schema/src/lib/settings/parseSettings.ts
@@ -14,13 +14,13 @@
 export class SettingsError extends Error {
   readonly file: string;
 
-  readonly faults: readonly SettingsIssue[];
+  readonly issues: readonly SettingsIssue[];
 
   constructor(file: string, issues: readonly SettingsIssue[]) {
     super(issues.map(({ key, reason }) => `${file}: ${key || '(file)'}: ${reason}`).join('\n'));
     this.name = 'SettingsError';
     this.file = file;
-    this.faults = issues;
+    this.issues = issues;
   }
 }
 
--- a/packages/schema/src/test/parseSettings.test.ts
+++ b/packages/schema/src/test/parseSettings.test.ts
@@ -24,7 +24,7 @@
     return [];
   } catch (error) {
     if (!(error instanceof SettingsError)) throw error;
-    return error.faults.map(({ key, reason }) => `${key}: ${reason}`);
+    return error.issues.map(({ key, reason }) => `${key}: ${reason}`);
   }
 }
 
--- a/stand-ins/database/src/lib/log/createLog.ts
+++ b/stand-ins/database/src/lib/log/createLog.ts
@@ -1,6 +1,6 @@
 import { appendFileSync, existsSync, readFileSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
-import { ORIGIN } from '@wisterialift/schema';
+import { INITIAL_POSITION } from '@wisterialift/schema';
 import type { Position, TermStart } from '@wisterialift/schema';
 import type { LoggedValue } from '../engine/sqlValue';
 
@@ -45,7 +45,7 @@
   return {
     end: () => {
       const last = entries.at(-1);
-      return last ? { term: last.term, index: last.index } : ORIGIN;
+      return last ? { term: last.term, index: last.index } : INITIAL_POSITION;
     },
     termStarts: () => starts,
     termAt: (index) => entries[index - 1]?.term ?? 0,
--- a/tools/fuzz/src/lib/configuration/configurationHistory.ts
+++ b/tools/fuzz/src/lib/configuration/configurationHistory.ts
@@ -1,5 +1,5 @@
 import {
-  adoptConfiguration,
+  decideAdoption,
   createPatchSubmission,
   type PatchOutcome,
   type PatchSubmission,
@@ -152,7 +152,7 @@
 
   const offer = (place: number, candidate: unknown) => {
     const proxy = proxies[place]!;
-    const adoption = adoptConfiguration({ currentNumber: proxy.number, candidate });
+    const adoption = decideAdoption({ currentNumber: proxy.number, candidate });
     if (adoption.status === 'invalid') report('validRefused', JSON.stringify(adoption.faults));
     if (adoption.status !== 'adopted') return;
     const { number } = adoption.configurationObject;
--- a/tools/fuzz/src/lib/experiments/connectionExperiment.ts
+++ b/tools/fuzz/src/lib/experiments/connectionExperiment.ts
@@ -45,8 +45,11 @@
     };
   },
   holdDown: (name: string): Decider => {
-    const share = createConnectionShare({ connectionLimit: CONNECTION_LIMIT, reserved: RESERVED });
-    return { update: (live, now) => share.update(live, name, now), share: share.share };
+    const share = createConnectionShare({
+      connectionLimit: CONNECTION_LIMIT,
+      reservedConnections: RESERVED,
+    });
+    return { update: (live, now) => share.update(live, name, now), share: share.compute };
   },
 };
 
--- a/tools/fuzz/src/lib/experiments/retryExperiment.ts
+++ b/tools/fuzz/src/lib/experiments/retryExperiment.ts
@@ -34,7 +34,7 @@
 export function runRetries(way: 'unlimited' | 'budget', seed: number): RetryFigures {
   const random = createRandom(seed);
   const scheduler = createScheduler();
-  const budget = createRetryBudget({ share: 0.1, minimumTokens: 10 });
+  const budget = createRetryBudget({ retryRatio: 0.1, minimumTokens: 10 });
   const queue: Attempt[] = [];
   const counts = { tries: 0, attempts: 0, triesLater: 0, goodLater: 0 };
   let running = 0;
@@ -68,7 +68,7 @@
         return;
       }
       if (number >= MAXIMUM_ATTEMPTS) return;
-      if (way === 'budget' && !budget.tryRetry(scheduler.now())) return;
+      if (way === 'budget' && !budget.trySpendRetry(scheduler.now())) return;
       send(startedAt, number + 1);
     });
   };
@@ -76,7 +76,7 @@
   const arrive = () => {
     scheduler.after(random.exponential(1_000 / LOAD_A_SECOND), () => {
       const startedAt = scheduler.now();
-      budget.recordFirstTry(startedAt);
+      budget.recordFirstAttempt(startedAt);
       if (startedAt >= FROZEN_FROM) counts.tries += 1;
       if (startedAt >= LATER_FROM) counts.triesLater += 1;
       send(startedAt, 1);
--- a/tools/fuzz/src/lib/experiments/runningExperiment.ts
+++ b/tools/fuzz/src/lib/experiments/runningExperiment.ts
@@ -1,4 +1,4 @@
-import { createRunningLimit } from '@wisterialift/core';
+import { createConcurrencyLimit } from '@wisterialift/core';
 import { createRandom } from '../simulation/random';
 import { createScheduler } from '../simulation/scheduler';
 
@@ -49,8 +49,8 @@
   };
 
   const startInstance = () => {
-    const adaptive = createRunningLimit({ slots: SLOTS, instances: INSTANCES });
-    const limits = { fairPart: () => 1, allSlots: () => SLOTS, adaptive: adaptive.limit };
+    const adaptive = createConcurrencyLimit({ slots: SLOTS, instances: INSTANCES });
+    const limits = { fairPart: () => 1, allSlots: () => SLOTS, adaptive: adaptive.getLimit };
     let running = 0;
 
     const onCompleted = (startedAt: number) => {
--- a/tools/fuzz/src/lib/fakes/fakeProxy.ts
+++ b/tools/fuzz/src/lib/fakes/fakeProxy.ts
@@ -7,7 +7,7 @@
   type EngineRequest,
   type StatementResult,
 } from '@wisterialift/core';
-import type { Database, Outcome } from '@wisterialift/schema';
+import type { Database, RequestOutcome } from '@wisterialift/schema';
 import type { Oracle } from '../oracle/oracle';
 import { createMailbox } from '../simulation/mailbox';
 import type { Network } from '../simulation/network';
@@ -27,7 +27,7 @@
 
 /** @public */
 export interface ProxyAnswer {
-  outcome: Outcome;
+  outcome: RequestOutcome;
   view?: LogView;
 }
 
@@ -270,7 +270,7 @@
     );
   };
 
-  const answer = (requestId: string, outcome: Outcome) => {
+  const answer = (requestId: string, outcome: RequestOutcome) => {
     const request = open.get(requestId);
     const attempt = request?.attempt;
     onStep('answer', attempt?.member ?? '');
@@ -477,7 +477,7 @@
   return { member, connection: `${requestId}#${number}` };
 }
 
-function describeOutcome(outcome: Outcome): string {
+function describeOutcome(outcome: RequestOutcome): string {
   if (outcome.status === 'done') {
     const { position } = outcome;
     return position ? `done at ${position.term}:${position.index}` : 'done';
--- a/tools/fuzz/src/lib/fakes/memberLog.ts
+++ b/tools/fuzz/src/lib/fakes/memberLog.ts
@@ -1,4 +1,4 @@
-import { ORIGIN, type Position, type TermStart } from '@wisterialift/schema';
+import { INITIAL_POSITION, type Position, type TermStart } from '@wisterialift/schema';
 
 /** An entry of the log: everything that one statement or one transaction wrote. @public */
 export interface LogEntry {
@@ -23,7 +23,7 @@
 /** Position of the entry at an index. @public */
 export function positionAt(log: readonly LogEntry[], index: number): Position {
   const entry = log[index - 1];
-  return entry ? { term: entry.term, index } : ORIGIN;
+  return entry ? { term: entry.term, index } : INITIAL_POSITION;
 }
 
 /** Where each term of the log began. @public */
--- a/tools/fuzz/src/lib/oracle/oracle.ts
+++ b/tools/fuzz/src/lib/oracle/oracle.ts
@@ -1,5 +1,5 @@
 import type { Access } from '@wisterialift/core';
-import { outcomeSchema, type Outcome } from '@wisterialift/schema';
+import { requestOutcomeSchema, type RequestOutcome } from '@wisterialift/schema';
 import type { FakeDatabase } from '../fakes/fakeDatabase';
 import { isShown, type LogEntry, type LogView } from '../fakes/memberLog';
 
@@ -66,7 +66,7 @@
   /** The proxy gave the final answer; `latestAt` is when its last answer was due. */
   onAnswered: (answer: {
     requestId: string;
-    outcome: Outcome;
+    outcome: RequestOutcome;
     attempt: AttemptResult | undefined;
     latestAt: number;
   }) => void;
@@ -109,7 +109,7 @@
 }): Oracle {
   const { now, databases } = options;
   const requests = new Map<string, RequestRecord>();
-  const outcomes = new Map<string, Outcome>();
+  const outcomes = new Map<string, RequestOutcome>();
   const arrivals = new Map<string, number>();
   const deadlines = new Map<string, number>();
   const excused = new Set<string>();
@@ -142,7 +142,7 @@
 
   const checkWriteDone = (
     request: RequestRecord,
-    outcome: Extract<Outcome, { status: 'done' }>,
+    outcome: Extract<RequestOutcome, { status: 'done' }>,
     attempt: AttemptResult,
   ) => {
     const { requestId, writes } = request;
@@ -187,7 +187,7 @@
 
   const checkDone = (
     request: RequestRecord,
-    outcome: Extract<Outcome, { status: 'done' }>,
+    outcome: Extract<RequestOutcome, { status: 'done' }>,
     attempt: AttemptResult | undefined,
   ) => {
     if (!attempt?.hasCompleted) {
@@ -210,7 +210,7 @@
     if (now() > due) {
       report('answeredLate', `${requestId} ${outcome.status}, due ${Math.round(due)}`);
     }
-    if (!outcomeSchema.safeParse(outcome).success) {
+    if (!requestOutcomeSchema.safeParse(outcome).success) {
       report('malformedAnswer', `${requestId}: ${JSON.stringify(outcome)}`);
     }
     if (outcome.status === 'done') {
@@ -223,7 +223,11 @@
 
   // The end
 
-  const checkKept = (request: RequestRecord, outcome: Outcome, kept: Map<string, number>) => {
+  const checkKept = (
+    request: RequestRecord,
+    outcome: RequestOutcome,
+    kept: Map<string, number>,
+  ) => {
     const { requestId, writes, fails } = request;
     const timesKept = (write: string) => kept.get(write) ?? 0;
     const ran = (write: string) => executions.has(write);
--- a/tools/world/src/lib/callers/balancer.ts
+++ b/tools/world/src/lib/callers/balancer.ts
@@ -21,12 +21,12 @@
   const misses = new Map(instances.map((instance) => [instance, MISSES]));
 
   for (const instance of instances) {
-    clock.after(random.next() * PROBE_MILLISECONDS, () => probe(instance));
+    clock.runAfter(random.next() * PROBE_MILLISECONDS, () => probe(instance));
   }
 
   function probe(instance: SimulatedInstance): void {
     misses.set(instance, instance.isReady() ? 0 : misses.get(instance)! + 1);
-    clock.after(PROBE_MILLISECONDS, () => probe(instance));
+    clock.runAfter(PROBE_MILLISECONDS, () => probe(instance));
   }
 
   const isInRotation = (instance: SimulatedInstance) => misses.get(instance)! < MISSES;
--- a/tools/world/src/lib/callers/callerConnection.ts
+++ b/tools/world/src/lib/callers/callerConnection.ts
@@ -42,7 +42,7 @@
         onClose: finish,
       },
     });
-    const cancelStart = clock.after(START_MILLISECONDS, () => {
+    const cancelStart = clock.runAfter(START_MILLISECONDS, () => {
       end.close();
       finish();
     });
@@ -65,7 +65,7 @@
           answer(undefined);
           return;
         }
-        const cancelDeadline = clock.after(deadlineAt - clock.now(), () => {
+        const cancelDeadline = clock.runAfter(deadlineAt - clock.now(), () => {
           end.close();
           take(undefined);
         });
--- a/tools/world/src/lib/callers/load.ts
+++ b/tools/world/src/lib/callers/load.ts
@@ -43,7 +43,7 @@
 
   function scheduleNext(caller: Host, load: number): void {
     const perSecond = load * experiment.load.factor;
-    clock.after(random.exponential(1_000 / perSecond), () => {
+    clock.runAfter(random.exponential(1_000 / perSecond), () => {
       if (clock.now() > experiment.seconds * 1_000) return;
       void runOperation(caller);
       scheduleNext(caller, load);
@@ -88,7 +88,7 @@
     let last: 'refused' | 'failed' = 'failed';
     let tried: CallerConnection['instance'] | undefined;
     for (let attempt = 0; attempt <= kind.retries; attempt += 1) {
-      if (attempt > 0) await clock.pause(retryPause(attempt));
+      if (attempt > 0) await clock.sleep(retryPause(attempt));
       if (clock.now() >= deadlineAt) return last;
       const connection = await findSession(operation, caller, tried);
       if (!connection) {
--- a/tools/world/src/lib/callers/operation.ts
+++ b/tools/world/src/lib/callers/operation.ts
@@ -99,7 +99,7 @@
       if (answer?.outcome !== 'completed') return leaveFailed(answer);
       const milliseconds = random.next() * LONGEST_PAUSE_MILLISECONDS;
       onPause(milliseconds);
-      await clock.pause(milliseconds);
+      await clock.sleep(milliseconds);
     }
     if (isWrite) oracle.noteSent(group, attemptId);
     const end = judge(await run('commit', 'COMMIT'), !isWrite);
--- a/tools/world/src/lib/experiment/runExperiment.ts
+++ b/tools/world/src/lib/experiment/runExperiment.ts
@@ -105,7 +105,7 @@
     groups: [...groups.keys()],
     onOutcome: (outcome) => outcomes.push(outcome),
   });
-  clock.every(SAMPLE_MILLISECONDS, () => {
+  clock.runEvery(SAMPLE_MILLISECONDS, () => {
     const isOver = clock.now() > experiment.seconds * 1_000;
     if (!isOver) samples.push(sampleDatabases(clock.now(), databases));
   });
--- a/tools/world/src/lib/experiment/worldInstances.ts
+++ b/tools/world/src/lib/experiment/worldInstances.ts
@@ -61,7 +61,11 @@
       ...platform.portsOf(host, own),
       instance: name,
       dataCentre,
-      times: { stopGrace: 6_000, missingGrace: 2_500, leavingBound: LEAVING_BOUND_MILLISECONDS },
+      times: {
+        stopGracePeriodMilliseconds: 6_000,
+        missingMemberRetentionMilliseconds: 2_500,
+        leavingGracePeriodMilliseconds: LEAVING_BOUND_MILLISECONDS,
+      },
       driver: createSimulatedDriver({
         simulation,
         host,
@@ -69,7 +73,7 @@
         onOpened: options.onOpened,
       }),
       transport: createSimulatedTransport({ simulation, host, hosts, listeners }),
-      without: new Set(without),
+      disabledMechanisms: new Set(without),
     };
   };
   return dataCentres.flatMap(({ name: place, instances: count }) =>
--- a/tools/world/src/lib/faults/faultHandlers.ts
+++ b/tools/world/src/lib/faults/faultHandlers.ts
@@ -30,14 +30,14 @@
     for (const group of [...groups.values()].slice(0, count)) {
       const lagging = replicasOf(group).slice(0, replicas);
       for (const memberId of lagging) group.setPace(memberId, { lag: milliseconds });
-      clock.after(seconds * 1_000, () => {
+      clock.runAfter(seconds * 1_000, () => {
         for (const memberId of lagging) group.setPace(memberId, undefined);
       });
     }
   },
   powerOffAll: ({ seconds }, { clock, instances }) => {
     for (const instance of instances) instance.losePower();
-    clock.after(seconds * 1_000, () => {
+    clock.runAfter(seconds * 1_000, () => {
       for (const instance of instances) instance.restorePower();
     });
   },
@@ -49,23 +49,23 @@
   },
   powerOffInstance: ({ seconds }, { clock, instances }) => {
     instances[0]!.losePower();
-    clock.after(seconds * 1_000, instances[0]!.restorePower);
+    clock.runAfter(seconds * 1_000, instances[0]!.restorePower);
   },
   rollingStops: ({ pause }, { clock, instances }) => {
     instances.forEach((instance, index) => {
-      clock.after(index * pause * 1_000, () => instance.stopAndRestart(STOP_GRACE_MILLISECONDS));
+      clock.runAfter(index * pause * 1_000, () => instance.stopAndRestart(STOP_GRACE_MILLISECONDS));
     });
   },
   storeDown: ({ seconds }, { clock, platform }) => {
     platform.setDown(true);
-    clock.after(seconds * 1_000, () => platform.setDown(false));
+    clock.runAfter(seconds * 1_000, () => platform.setDown(false));
   },
   darkPrimary: ({ seconds }, { clock, groups, databases, platform }) => {
     const memberId = primaryOf([...groups.values()][0]!);
     const database = databases.get(memberId)!;
     database.losePower();
     platform.review();
-    clock.after(seconds * 1_000, () => {
+    clock.runAfter(seconds * 1_000, () => {
       database.restart({ isEmpty: false });
       platform.review();
     });
@@ -82,10 +82,10 @@
       const memberId = role === 'primary' ? primaryOf(group) : replicasOf(group)[0]!;
       const database = databases.get(memberId)!;
       platform.setLeaving(memberId, true);
-      clock.after(seconds * 1_000, () => {
+      clock.runAfter(seconds * 1_000, () => {
         database.losePower();
         platform.setLeaving(memberId, false);
-        clock.after(SUCCESSION_MILLISECONDS, () => {
+        clock.runAfter(SUCCESSION_MILLISECONDS, () => {
           database.restart({ isEmpty: false });
           platform.review();
         });
@@ -99,7 +99,7 @@
     for (const database of lost) database.losePower();
     platform.review();
     if (seconds === undefined) return;
-    clock.after(seconds * 1_000, () => {
+    clock.runAfter(seconds * 1_000, () => {
       for (const database of lost) database.restart({ isEmpty: false });
       platform.review();
     });
@@ -107,17 +107,17 @@
   lateDirectory: ({ seconds, milliseconds, instances: count }, { clock, instances, platform }) => {
     const hosts = instances.slice(0, count).map(({ host }) => host);
     platform.delayChanges(hosts, milliseconds);
-    clock.after(seconds * 1_000, () => platform.delayChanges(hosts, 0));
+    clock.runAfter(seconds * 1_000, () => platform.delayChanges(hosts, 0));
   },
   slowDatabase: ({ seconds, factor, member }, { clock, groups, databases }) => {
     const memberId = [...[...groups.values()][0]!.members.keys()][member]!;
     const { slots } = databases.get(memberId)!;
     slots.setSlowness(factor);
-    clock.after(seconds * 1_000, () => slots.setSlowness(1));
+    clock.runAfter(seconds * 1_000, () => slots.setSlowness(1));
   },
   lostAnswers: ({ seconds, share }, { clock, databases }) => {
     for (const database of databases.values()) database.setAnswerLoss(share);
-    clock.after(seconds * 1_000, () => {
+    clock.runAfter(seconds * 1_000, () => {
       for (const database of databases.values()) database.setAnswerLoss(0);
     });
   },
@@ -127,7 +127,7 @@
 export function scheduleFaults(faults: readonly PlannedFault[], targets: FaultTargets): void {
   for (const fault of faults) {
     const handle = handlers[fault.kind] as Handler<PlannedFault['kind']>;
-    targets.clock.after(fault.at * 1_000 - targets.clock.now(), () => handle(fault, targets));
+    targets.clock.runAfter(fault.at * 1_000 - targets.clock.now(), () => handle(fault, targets));
   }
 }
 
--- a/tools/world/src/lib/instances/simulatedInstance.ts
+++ b/tools/world/src/lib/instances/simulatedInstance.ts
@@ -16,7 +16,7 @@
   | { type: 'refused' }
   | { type: 'answer'; answer: Parameters<CallerLink['answer']>[0] };
 
-type GroupCounters = ReturnType<Gateway['counters']>[string];
+type GroupCounters = ReturnType<Gateway['getCounters']>[string];
 
 /** One instance with the real gateway in it. @internal */
 export interface SimulatedInstance {
@@ -75,7 +75,7 @@
     isListening = true;
   }
 
-  const presentCounters = () => Object.values(gateway?.counters() ?? {});
+  const presentCounters = () => Object.values(gateway?.getCounters() ?? {});
 
   function forget(): void {
     formerCounters.push(...presentCounters());
@@ -135,13 +135,13 @@
       end.close();
     },
     answer: (answer) => end.send({ type: 'answer', answer }),
-    end: end.close,
+    close: end.close,
   });
   return {
     onMessage: (message) => {
       if (message.type === 'startup') events.onStart(message.database);
       else events.onStatement(message.statement);
     },
-    onClose: events.onLeave,
+    onClose: events.onDisconnect,
   };
 }
--- a/tools/world/src/lib/platform/simulatedPlatform.ts
+++ b/tools/world/src/lib/platform/simulatedPlatform.ts
@@ -5,9 +5,9 @@
   GatewayConfiguration,
   InstanceEntry,
   InstanceRegistry,
-  PromotionOrders,
+  PromotionOrderClient,
   PromotionStore,
-  StoredRecord,
+  StoredPromotionRecord,
 } from '@wisterialift/gateway';
 import type { ClockReadings } from '@wisterialift/pooling';
 import type { SimulatedDatabase } from '../databases/simulatedDatabase';
@@ -20,7 +20,7 @@
   directory: DirectoryPort;
   configuration: ConfigurationPort;
   store: PromotionStore;
-  orders: PromotionOrders;
+  orders: PromotionOrderClient;
   registry: InstanceRegistry;
 }
 
@@ -61,7 +61,7 @@
 }): SimulatedPlatform {
   const { simulation, databases, groups, slots } = options;
   const { scheduler } = simulation;
-  const records = new Map<string, StoredRecord>();
+  const records = new Map<string, StoredPromotionRecord>();
   const entries = new Map<string, DirectoryEntry>();
   const leaving = new Map<string, number>();
   const instances = new Map<string, InstanceEntry>();
@@ -136,7 +136,7 @@
    *
    * @param onChange - told from when on all that is new was accepted.
    */
-  function follow(host: Host, onChange: (newSince: ClockReadings | undefined) => void): void {
+  function follow(host: Host, onChange: (changedAfter: ClockReadings | undefined) => void): void {
     const life = host.life();
     const isRunning = () => host.life() === life && host.isPowered();
     let wholeAt: ClockReadings | undefined;
@@ -192,7 +192,7 @@
     },
   };
 
-  const orders: PromotionOrders = {
+  const orders: PromotionOrderClient = {
     promote: ({ group, memberId }) =>
       new Promise((resolve) => {
         scheduler.after(CALL_MILLISECONDS, () => {
@@ -204,21 +204,23 @@
   return {
     portsOf: (host, own) => ({
       directory: {
-        follow: ({ onChange }) =>
-          follow(host, (newSince) => onChange([...entries.values()], { isFresh: true, newSince })),
+        subscribe: ({ onChange }) =>
+          follow(host, (changedAfter) =>
+            onChange([...entries.values()], { isFresh: true, changedAfter }),
+          ),
       },
       configuration: {
-        follow: (onChange) => follow(host, () => configuration && onChange(configuration)),
+        subscribe: (onChange) => follow(host, () => configuration && onChange(configuration)),
       },
       store,
       orders,
       registry: {
-        follow: (onChange) => {
+        registerInstance: (onChange) => {
           instances.set(own.instance, own);
           follow(host, () => onChange([...instances.values()]));
           notify();
         },
-        reportGone: (instance) => {
+        reportUnreachable: (instance) => {
           instances.delete(instance);
           notify();
         },
--- a/tools/world/src/lib/simulation/simulatedClock.ts
+++ b/tools/world/src/lib/simulation/simulatedClock.ts
@@ -7,7 +7,7 @@
 
 /** What the clocks of every process show at a time of the world. @internal */
 export function readingsAt(time: number): ClockReadings {
-  return { steady: time, wall: EPOCH + time };
+  return { monotonic: time, wall: EPOCH + time };
 }
 
 /**
@@ -17,7 +17,7 @@
  * @internal
  */
 export function createSimulatedClock(scheduler: Scheduler, isRunning: () => boolean): Clock {
-  const after: Clock['after'] = (milliseconds, action) => {
+  const after: Clock['runAfter'] = (milliseconds, action) => {
     let isDue = true;
     scheduler.after(Math.max(0, milliseconds), () => {
       if (isDue && isRunning()) action();
@@ -27,7 +27,7 @@
     };
   };
 
-  const every: Clock['every'] = (milliseconds, action) => {
+  const every: Clock['runEvery'] = (milliseconds, action) => {
     let cancel = after(milliseconds, repeat);
     function repeat(): void {
       cancel = after(milliseconds, repeat);
@@ -38,10 +38,10 @@
 
   return {
     now: scheduler.now,
-    readings: () => readingsAt(scheduler.now()),
-    after,
-    every,
-    pause: (milliseconds) =>
+    readClocks: () => readingsAt(scheduler.now()),
+    runAfter: after,
+    runEvery: every,
+    sleep: (milliseconds) =>
       new Promise((resolve) => {
         after(milliseconds, resolve);
       }),
