--- a/packages/core/src/lib/acknowledgement/confirmationTracker.ts
+++ b/packages/core/src/lib/acknowledgement/confirmationTracker.ts
@@ -42,10 +42,10 @@
 /**
  * Creates the tracker that decides when a write may be acknowledged.
  *
- * A write is confirmed once a majority, asked after the write completed, reports the term of the write
- * and a log that reaches its position. A promotion needs a majority that has recorded a higher term.
- * The two majorities share a member, which reported the write before it recorded the higher term; the
- * new log therefore contains the write.
+ * A write is confirmed once a majority, polled after the write completed, reports the term of the
+ * write and a log that reaches its position. A promotion needs a majority that has recorded a higher
+ * term. The two majorities share a member, which reported the write before it recorded the higher
+ * term; the new log therefore contains the write.
  *
  * @internal
  */
--- a/packages/core/src/lib/engine/probeIntervals.ts
+++ b/packages/core/src/lib/engine/probeIntervals.ts
@@ -45,7 +45,7 @@
     return consecutiveUnreachable > 0 && consecutiveUnreachable < MAXIMUM_FAST_PROBES;
   }
 
-  /** Faster probes tell a dead process from a transient fault sooner. */
+  /** Faster probes distinguish a dead process from a transient fault sooner. */
   function getInterval(member: Member, now: number): number {
     if (isNewlyUnreachable(member)) return probeIntervalMilliseconds * FAST_PROBE_FACTOR;
     return isIdleAndHealthy(now) ? idleProbeIntervalMilliseconds : probeIntervalMilliseconds;
--- a/packages/core/src/lib/membership/configurationForwarding.ts
+++ b/packages/core/src/lib/membership/configurationForwarding.ts
@@ -2,7 +2,7 @@
 import { orderByRendezvous } from './rendezvous';
 import { chooseWatchers } from './watchers';
 
-/** An instance and all instances that it knows, including itself. @public */
+/** An instance and all instances in its list, including itself. @public */
 export interface MembershipSnapshot {
   self: Instance;
   instances: readonly Instance[];
@@ -43,8 +43,8 @@
 }
 
 /**
- * Lists the other watchers of the data centre in the order in which this instance asks them for the
- * latest platform state; the order differs between instances to spread the load.
+ * Lists the other watchers of the data centre in the order in which this instance requests the latest
+ * platform state from them; the order differs between instances to spread the load.
  *
  * @public
  */
--- a/packages/core/src/lib/reads/floorRounds.ts
+++ b/packages/core/src/lib/reads/floorRounds.ts
@@ -36,7 +36,7 @@
  * Creates the rounds that determine the floor of reads without a token.
  *
  * Preserves read-your-writes for sessions that write through another instance: a majority holds each
- * acknowledged write and overlaps with any majority asked after the read arrived. Each majority
+ * acknowledged write and overlaps with any majority polled after the read arrived. Each majority
  * gives a valid bound, so further answers only lower the floor.
  *
  * @internal
--- a/packages/core/src/lib/reads/stalenessSamples.ts
+++ b/packages/core/src/lib/reads/stalenessSamples.ts
@@ -23,7 +23,7 @@
 /**
  * Creates the samples that bound the staleness of members using only the local clock.
  *
- * A sample records the log position of a majority that was asked at time t. A member that has
+ * A sample records the log position of a majority that was polled at time t. A member that has
  * applied this position contains every write acknowledged before t.
  *
  * @internal
--- a/packages/gateway/src/lib/groups/upstreamPool.ts
+++ b/packages/gateway/src/lib/groups/upstreamPool.ts
@@ -330,7 +330,7 @@
 /**
  * Brings a connection into the state that a statement requires.
  *
- * Send the statement only after this resolves, so that it cannot see another session's values.
+ * Send the statement only after this resolves; otherwise another session's values may be visible to it.
  *
  * @returns the first refusal, or undefined if the connection is ready.
  */
--- a/packages/gateway/src/lib/relay/relayedGroup.ts
+++ b/packages/gateway/src/lib/relay/relayedGroup.ts
@@ -84,7 +84,7 @@
 
   /**
    * Brings this instance and a holder to the newer of their two configuration versions, so that
-   * callers never see an older version after a newer one.
+   * callers are never served by an older version after a newer one.
    */
   async function synchronizeConfiguration(link: PeerLink, version: number): Promise<void> {
     const current = configuration.get();
--- a/packages/peer/src/lib/client/peerClient.ts
+++ b/packages/peer/src/lib/client/peerClient.ts
@@ -39,7 +39,7 @@
   ) => Promise<number>;
   /** Fetches the peer's configuration if its number is above the given one. */
   fetchConfiguration: (address: string, aboveNumber: number) => Promise<PeerConfiguration>;
-  /** Fetches the instances that the peer knows. */
+  /** Fetches the peer's list of instances. */
   fetchInstances: (address: string) => Promise<PeerInstances>;
   announcePrimary: (address: string, published: PublishedPrimary) => Promise<void>;
   /** @param instance - name of the instance that is about to stop. */
--- a/packages/peer/src/lib/peerMessages.ts
+++ b/packages/peer/src/lib/peerMessages.ts
@@ -20,7 +20,7 @@
   ageMilliseconds: number;
 }
 
-/** The instances that a peer knows. @public */
+/** The instances in a peer's list. @public */
 export interface PeerInstances {
   instances: Instance[];
   /** Time since the platform returned the list that this one derives from. */
--- a/packages/platform/src/lib/httpClient.ts
+++ b/packages/platform/src/lib/httpClient.ts
@@ -132,8 +132,8 @@
 }
 
 /**
- * Tells whether a request failed because the server closed the idle connection as it was reused. Only
- * reads are safe to repeat: an update may have been applied.
+ * Returns whether a request failed because the server closed the idle connection as it was reused.
+ * Only reads are safe to repeat: an update may have been applied.
  */
 function canRepeatRead(request: ClientRequest, error: unknown): boolean {
   if (request.method !== 'GET' || !request.reusedSocket) return false;
--- a/packages/proxy/src/lib/configuration/configurationFollower.ts
+++ b/packages/proxy/src/lib/configuration/configurationFollower.ts
@@ -75,7 +75,7 @@
   }
 
   /**
-   * Asks the next watcher, and finally the platform, if an answer was confirmed too long ago (a newer
+   * Polls the next watcher, and finally the platform, if an answer was confirmed too long ago (a newer
    * configuration in it is adopted anyway); otherwise two instances that poll each other could keep
    * a stale configuration forever.
    */
--- a/packages/proxy/src/lib/configuration/instanceRegistry.ts
+++ b/packages/proxy/src/lib/configuration/instanceRegistry.ts
@@ -25,7 +25,7 @@
   listSourceAddresses: () => string[];
   /** Addresses of all other instances and of the seeds. */
   listPeerAddresses: () => string[];
-  /** Maximum age of an answer from a watcher; if all are older, the platform is asked. */
+  /** Maximum age of an answer from a watcher; if all are older, the platform is polled. */
   ageLimitMilliseconds: number;
   /** The list that is returned to peers. */
   getSnapshot: () => PeerInstances;
--- a/packages/proxy/src/lib/process/createProxy.ts
+++ b/packages/proxy/src/lib/process/createProxy.ts
@@ -49,7 +49,7 @@
  * Composes the tasks of an instance: statements, configuration, peers and administration.
  *
  * Callers are accepted after the first configuration. The administration API is available before,
- * so that an operator can see an instance that waits for its configuration.
+ * so that an instance that waits for its configuration is visible to operators.
  *
  * @public
  */
--- a/packages/proxy/src/lib/statements/caller/callerRequests.ts
+++ b/packages/proxy/src/lib/statements/caller/callerRequests.ts
@@ -48,7 +48,7 @@
   sendAnswer: (finished: FinishedRequest) => void;
   /** Reports the outcome and latency of the current request; `sendAnswer` does so itself. */
   observe: (status: RequestOutcome['status']) => void;
-  /** Forgets the current request; call after its answer has been sent. */
+  /** Clears the current request; call after its answer has been sent. */
   clearCurrent: () => void;
   /** Cancels the current request because the caller has disconnected. */
   cancel: () => void;
@@ -244,7 +244,7 @@
     submitInTransaction: ({ received, transaction, onFinished }) => {
       const { id, services } = transaction;
       const group = callerSession.group ?? '';
-      // The engine does not see this request; its access is reported only in metrics.
+      // This request does not pass through the engine; its access is reported only in metrics.
       const request = createRequest('transaction', received.statement, group);
       const { requestId, deadlineAt } = request;
       const statement = {
--- a/packages/proxy/src/lib/statements/group/groupTask.ts
+++ b/packages/proxy/src/lib/statements/group/groupTask.ts
@@ -114,7 +114,7 @@
       runs.delete(requestId);
       handleEvent({ type: 'requestCancelled', requestId });
       // The run is no longer in `runs`, so `abandonStatement` does not find it; and the engine does not
-      // know statements in a transaction.
+      // track statements in a transaction.
       cancelAttempt(run);
     },
     transactionStatementSubmitted: ({ statement }) => runInTransaction(statement),
--- a/packages/proxy/src/test/configurationTask.test.ts
+++ b/packages/proxy/src/test/configurationTask.test.ts
@@ -352,7 +352,7 @@
 
 describe('the instances that an instance knows', () => {
   // Guards against a configuration that does not reach every instance while the list of instances
-  // lags. Each instance then knows only itself and acts as a watcher.
+  // lags. The list of each instance then contains only itself, and it acts as a watcher.
   it('are only itself while the list lags, and all when it has caught up', async () => {
     fleet.platform.changeFaults({ instanceLagMilliseconds: 600_000 });
     const [first] = await addSevenInstances(fleet);
--- a/packages/schema/src/lib/settings/settings.ts
+++ b/packages/schema/src/lib/settings/settings.ts
@@ -30,7 +30,7 @@
   }),
   callers: listenerSchema,
   peers: listenerSchema.extend({
-    /** `host:port` of instances to ask for the configuration while the platform is unavailable. */
+    /** `host:port` of instances that supply the configuration while the platform is unavailable. */
     seeds: z.array(z.string().regex(/^.+:\d{1,5}$/, 'host:port')).default([]),
   }),
   administration: listenerSchema.extend({
