--- a/packages/core/src/lib/engine/groupEngine.ts
+++ b/packages/core/src/lib/engine/groupEngine.ts
@@ -195,9 +195,8 @@
   }
 
   /**
-   * Starts failure detection at the first event, and restarts it after a pause of this process
-   * (shown by a late timer), so that a healthy primary is not deposed because its responses went
-   * unread.
+   * Starts failure detection at the first event. Restarts it after a pause of this process (shown by
+   * a late timer), since unread responses must not depose a healthy primary.
    */
   function detectPause(now: number): void {
     if (startedAt === undefined) {
--- a/packages/core/src/lib/engine/logHistory.ts
+++ b/packages/core/src/lib/engine/logHistory.ts
@@ -14,8 +14,8 @@
 /**
  * Whether the member has applied the entry at the position.
  *
- * Comparing positions alone is unsafe: an isolated primary of a later term can have a higher
- * position without containing the entry.
+ * Comparing positions alone is unsafe: an isolated primary of a later term can be ahead without the
+ * entry.
  *
  * @internal
  */
--- a/packages/core/src/lib/engine/memberTable.ts
+++ b/packages/core/src/lib/engine/memberTable.ts
@@ -82,8 +82,8 @@
 /**
  * Creates the table of member state.
  *
- * The status in a response that arrives out of order is ignored, so that log end and term never go
- * back; the response still counts as a sign of life.
+ * Out-of-order responses count as signs of life, but their status is ignored so that log end and
+ * term never decrease.
  *
  * @internal
  */
--- a/packages/core/src/lib/engine/probeIntervals.ts
+++ b/packages/core/src/lib/engine/probeIntervals.ts
@@ -17,7 +17,7 @@
 const FAST_PROBE_FACTOR = 0.5;
 
 /**
- * Creates the probe intervals: longer for groups that are idle and healthy, to save control traffic.
+ * Creates probe intervals, longer for idle, healthy groups to save control traffic.
  *
  * A request, a failed probe, a member with another term or a failover restores the normal interval.
  *
--- a/packages/core/src/lib/engine/requestCompletion.ts
+++ b/packages/core/src/lib/engine/requestCompletion.ts
@@ -60,8 +60,8 @@
   }
 
   /**
-   * Returns the outcome of a request that may have run. Reads and BEGIN are reported as `discarded`:
-   * they may be repeated. Writes are reported as `unknown`, since they may be stored.
+   * Returns the outcome of a request that may have run: `discarded` for reads and BEGIN, which may be
+   * repeated; `unknown` for writes, since they may be stored.
    */
   function createOutcomeOfPossiblyRun(
     request: TrackedRequest,
--- a/packages/core/src/lib/engine/statusPoller.ts
+++ b/packages/core/src/lib/engine/statusPoller.ts
@@ -48,8 +48,8 @@
 /**
  * Creates the sender of status requests for probes, floor rounds and confirmations.
  *
- * A response serves everything that was waiting when its request was sent, so the request rate does
- * not depend on the number of statements.
+ * A response serves everything waiting when its request was sent, so statements do not multiply
+ * requests.
  *
  * @internal
  */
--- a/packages/core/src/test/acknowledgement.test.ts
+++ b/packages/core/src/test/acknowledgement.test.ts
@@ -12,8 +12,8 @@
   });
 
   it('does not acknowledge a write that a replaced primary ran', () => {
-    // The primary and the instance that sent the write both freeze, and neither observes the promotion
-    // of b1. A success reported by the old primary after resuming must not be acknowledged.
+    // The primary and the sending instance both freeze and miss the promotion of b1. A success that
+    // the old primary reports after resuming must not be acknowledged.
     const scenario = createScenario({ instances: ['p1', 'p2'] });
     const write = scenario.write({ deadlineAt: scenario.now() + 20_000 }, 'p1');
     scenario.member('a1').state = 'frozen';
@@ -67,9 +67,8 @@
   });
 
   it('does not report a write as discarded while it can still be recovered', () => {
-    // b1 is promoted without the entry but fails before a majority has its term; the old primary, which
-    // has the entry, is promoted again. Reporting "discarded" would make the
-    // caller repeat a write that is then applied twice.
+    // b1 is promoted without the entry but fails before a majority has its term; a1, which has the
+    // entry, is promoted again. Retrying after "discarded" would apply the write twice.
     const scenario = createScenario();
     ['a1', 'c1'].forEach((name) =>
       Object.assign(scenario.member(name), { isIsolatedFromGroup: true }),
--- a/packages/core/src/test/engineScenario.ts
+++ b/packages/core/src/test/engineScenario.ts
@@ -97,8 +97,7 @@
 /**
  * Runs engines against three simulated databases in deterministic 1 ms steps.
  *
- * `a1` is the primary of term 1; each member is in its own data centre, and all instances are in that
- * of `b1`.
+ * `a1` is primary of term 1; each member has its own data centre; all instances share that of `b1`.
  */
 export function createScenario(options: ScenarioOptions = {}) {
   const random = createRandom(options.seed ?? 1);
--- a/packages/core/src/test/reads.test.ts
+++ b/packages/core/src/test/reads.test.ts
@@ -56,8 +56,8 @@
   });
 
   it('does not send a read with a token to a member in a higher term whose log lacks the write', () => {
-    // b1 was promoted without the entry and then isolated; a1, which has it, was promoted again. b1's
-    // position has a higher term than the entry, but comparing positions alone is not sufficient.
+    // b1 was promoted without the entry, then isolated; a1, which has it, was promoted again. b1's
+    // position has the higher term, so comparing positions alone is not sufficient.
     const scenario = createScenario();
     ['a1', 'b1', 'c1'].forEach((name) =>
       Object.assign(scenario.member(name), { isIsolatedFromGroup: true }),
