--- a/packages/core/src/lib/admission/retryBudget.ts
+++ b/packages/core/src/lib/admission/retryBudget.ts
@@ -19,10 +19,8 @@
 const MAXIMUM_CREDITED_FIRST_ATTEMPTS = 1_000;
 
 /**
- * Creates a token bucket that limits retries to a ratio of the first attempts.
- *
- * Prevents retry storms during an outage: only first attempts and a slow refill earn tokens, so
- * retries increase the load by at most this ratio.
+ * Creates a token bucket that limits retries to a ratio of first attempts, which prevents retry storms.
+ * Only first attempts and a slow refill earn tokens.
  *
  * @public
  */
--- a/packages/core/src/lib/configuration/decideAdoption.ts
+++ b/packages/core/src/lib/configuration/decideAdoption.ts
@@ -13,8 +13,8 @@
 /**
  * Decides whether a received configuration replaces the current one.
  *
- * Messages of watches, polls and peers can arrive out of order. Accepting only higher numbers keeps
- * a configuration from being reverted; only complete, valid objects are accepted.
+ * Accepts only complete, valid objects with a higher number, so that messages arriving out of order
+ * revert nothing.
  *
  * @param options.currentNumber - current number; undefined before the first configuration.
  * @param options.candidate - received value, not yet validated.
--- a/packages/core/src/lib/configuration/patchSubmission.ts
+++ b/packages/core/src/lib/configuration/patchSubmission.ts
@@ -205,8 +205,8 @@
 }
 
 /**
- * Returns `unknown` even if no update was sent: the same patch may have been submitted through another
- * instance and stored. Reporting a failure could lead the operator to apply the change twice.
+ * Returns `unknown` even if no update was sent: another instance may have stored the same patch.
+ * Reporting a failure could lead the operator to apply the change twice.
  */
 function createUnknownOutcome({ patch }: SubmissionContext): PatchOutcome {
   return { status: 'unknown', patchId: patch.patchId };
--- a/packages/core/src/lib/membership/configurationForwarding.ts
+++ b/packages/core/src/lib/membership/configurationForwarding.ts
@@ -43,8 +43,8 @@
 }
 
 /**
- * Lists the other watchers of the data centre in the order in which this instance requests the latest
- * platform state from them; the order differs between instances to spread the load.
+ * Lists the data centre's other watchers in the order in which this instance queries them for the
+ * latest platform state; the order differs between instances to spread the load.
  *
  * @public
  */
--- a/packages/core/src/lib/membership/instanceView.ts
+++ b/packages/core/src/lib/membership/instanceView.ts
@@ -91,8 +91,8 @@
 }
 
 /**
- * Applies a drain set by an operator, only once a list has shown the instance as live. An older list
- * may still contain a leaving predecessor of the same name, which would stop the new instance.
+ * Applies an operator's drain only once a list has shown the instance live: an older list may contain
+ * a leaving predecessor of the same name, which would stop this one.
  */
 function mergeSelf(view: InstanceView, instances: readonly Instance[]): InstanceView {
   const state = instances.find(({ name }) => name === view.self.name)?.state;
--- a/packages/core/src/lib/membership/rendezvous.ts
+++ b/packages/core/src/lib/membership/rendezvous.ts
@@ -8,10 +8,8 @@
 const MIX_FACTOR_2 = 0xc2b2ae35;
 
 /**
- * Orders names for a key by rendezvous hashing (highest random weight).
- *
- * The order depends only on the key, names and weights. Adding or removing a name does not change
- * the order of the others.
+ * Orders names by rendezvous hashing. The order depends only on the key, names and weights; adding or
+ * removing a name does not change the order of the others.
  *
  * @example
  * orderByRendezvous({ key: 'archivio-1', names: ['p1', 'p2', 'p3'] })[0]; // first in order
--- a/packages/core/src/lib/membership/watchers.ts
+++ b/packages/core/src/lib/membership/watchers.ts
@@ -6,9 +6,7 @@
 
 /**
  * Chooses the instances of a data centre that watch the platform.
- *
- * While the lists of instances differ, there may be more or fewer watchers. With fewer, the regular
- * poll of each instance bounds the delay of updates.
+ * Their number may vary while lists differ; each instance's regular poll bounds the update delay.
  *
  * @public
  */
--- a/packages/core/src/lib/reads/floorRounds.ts
+++ b/packages/core/src/lib/reads/floorRounds.ts
@@ -5,8 +5,7 @@
 
 /**
  * A round of status requests to all members, shared by the reads that arrived before its first request.
- *
- * The answers of a majority give the floor: the position that a read must reflect at least.
+ * A majority's answers give the floor: the minimum position of these reads.
  *
  * @internal
  */
--- a/packages/core/src/lib/reads/readRouter.ts
+++ b/packages/core/src/lib/reads/readRouter.ts
@@ -33,10 +33,8 @@
 const AVOIDED_MEMBER_PENALTY = 4;
 
 /**
- * Chooses the member for a read among candidates with free capacity.
- *
- * Prefers replicas in the same data centre, then other replicas, then the primary, and among equals
- * the member with the fewest running statements.
+ * Chooses the member for a read among candidates with free capacity: first replicas of the data centre,
+ * other replicas, then the primary; ties go to the fewest running statements.
  *
  * @returns undefined if no candidate is eligible.
  * @internal
--- a/packages/core/src/lib/routing/requestRouter.ts
+++ b/packages/core/src/lib/routing/requestRouter.ts
@@ -91,8 +91,8 @@
   }
 
   /**
-   * Returns whether the read should wait for an up-to-date replica instead of using the primary; the
-   * first call starts the wait. Lagging replicas are waited for only until they answer the read's round.
+   * Returns whether the read waits for an up-to-date replica instead of using the primary; the first
+   * call starts the wait. Lagging replicas count only until they answer the read's round.
    */
   function isWaitingForReplica(request: TrackedRequest, primary: Member, now: number): boolean {
     if (request.waitForReplicaUntil === undefined) {
--- a/packages/core/src/lib/session/session.ts
+++ b/packages/core/src/lib/session/session.ts
@@ -41,10 +41,8 @@
 const KIND_NAME_PATTERN = /^[a-z0-9][a-z0-9-]{0,62}$/;
 
 /**
- * Creates the session of a new caller connection.
- *
- * A roaming session may also write through another proxy instance. The positions known here are
- * therefore sufficient only if roaming is off or the caller supplies the session token.
+ * Creates the session of a new caller connection. A roaming session may write through another
+ * instance, so positions known here suffice only without roaming or with the session token.
  *
  * @public
  */
--- a/packages/core/src/lib/session/sessionToken.ts
+++ b/packages/core/src/lib/session/sessionToken.ts
@@ -23,7 +23,7 @@
  * Encodes the positions of a session as an opaque token.
  *
  * Format: `w1.<base64url of "group=term:index;...">.<checksum>`. The checksum detects truncation and
- * typing errors; a signature is not needed because tokens grant no access.
+ * typing errors; tokens grant no access, so need no signature.
  *
  * @public
  */
